--- a/bench/scale_bench.cc
+++ b/bench/scale_bench.cc
@@ -174,7 +174,7 @@
       result.outcome = uint8_t(task_outcome::Succeeded);
       result.output = std::string(50, 'x');
       bool decided = false;
-      table.Settle(job, std::move(result), seconds(1), &decided);
+      table.FinishTask(job, std::move(result), seconds(1), &decided);
     }
   }
   double perJob = (HeapBytes() - before) / kJobs;
--- a/cactusmast/announcement_codec.h
+++ b/cactusmast/announcement_codec.h
@@ -14,7 +14,7 @@
 enum class announcement_kind : uint8_t
 {
   Present,
-  Leaving, // it ends now
+  Withdrawn, // it ends now
   Count
 };
 
--- a/cactusmast/api_json.cc
+++ b/cactusmast/api_json.cc
@@ -186,7 +186,7 @@
                           aError.what(),
                           aError.Step(),
                           aError.Peer(),
-                          aError.Run(),
+                          aError.RunState(),
                           aError.RetryAfter().count()));
 }
 
@@ -229,7 +229,7 @@
   uint64_t version = aNode.Config().InForce().mVersion;
   json status = { { "config_version", version },
                   { "config_fresh", aNode.Config().Fresh(aNow) },
-                  { "draining", aNode.Draining() },
+                  { "draining", aNode.IsDraining() },
                   { "open_requests", aNode.OpenRequests() },
                   { "processes", json::array() },
                   { "shards", json::array() },
@@ -278,7 +278,7 @@
                         { "incarnation", worker.mIncarnation },
                         { "connected", worker.mConnected },
                         { "leased", worker.mLeased },
-                        { "set_aside", worker.mSetAside },
+                        { "set_aside", worker.mQuarantined },
                         { "slots", worker.mSlots },
                         { "running", worker.mRunning },
                         { "slowness", worker.mSlowness } });
@@ -314,7 +314,7 @@
                             aOutcome.mText,
                             "change configuration",
                             "table",
-                            aOutcome.mRun,
+                            aOutcome.mRunState,
                             0));
   }
   return Dump({ { "accepted", true },
--- a/cactusmast/backend_runner.h
+++ b/cactusmast/backend_runner.h
@@ -18,27 +18,27 @@
 
 namespace cactusmast {
 
-struct start_order
+struct start_request
 {
   task_key mTask;
-  uint32_t mRun = 0; // tells the starts of one task apart; only grows
+  uint32_t mRunNumber = 0; // tells the starts of one task apart; only grows
   std::string mSpec;
-  int64_t mLeaseUntilMs = 0; // on the backend server's clock
-  uint64_t mFence = 0;       // fencing token: lower ones are refused for good
+  int64_t mLeaseUntilMs = 0;  // on the backend server's clock
+  uint64_t mFencingToken = 0; // fencing token: lower ones are refused for good
 };
 
-struct stop_order
+struct stop_request
 {
   task_key mTask;
-  uint32_t mRun = 0;
-  uint64_t mFence = 0;
+  uint32_t mRunNumber = 0;
+  uint64_t mFencingToken = 0;
 };
 
-struct look_order
+struct poll_request
 {
   uint64_t mNumber = 0;      // comes back with the answer
   int64_t mLeaseUntilMs = 0; // 0: the lease is left as it is
-  uint64_t mFence = 0;
+  uint64_t mFencingToken = 0;
   uint64_t mLastEndSeen = 0; // ends up to this one need not be listed again
   uint32_t mWaitMs = 0;      // the answer waits this long for an end
 };
@@ -46,24 +46,24 @@
 enum class start_result : uint8_t
 {
   Started,
-  LeaseOver,   // the lease in the order had ended when it arrived
-  NoRoom,      // the backend server's own check found no room
-  OldRun,      // this run or a later one was stopped or ended before
-  FencedOff,   // a greater fencing token was seen
-  Unhealthy,   // refused by an ill backend server, which has done nothing
-  OtherBoot,   // another life of the backend server answered; nothing done
-  Malformed,   // the order can never be carried out
-  Unreachable, // no connection was made, so nothing was sent
-  NoAnswer,    // may be carried out, now or seconds later
+  LeaseOver,        // the lease in the order had ended when it arrived
+  NoRoom,           // the backend server's own check found no room
+  OldRun,           // this run or a later one was stopped or ended before
+  FencedOff,        // a greater fencing token was seen
+  Unhealthy,        // refused by an ill backend server, which has done nothing
+  OtherIncarnation, // another life of the backend server answered; nothing done
+  Malformed,        // the order can never be carried out
+  Unreachable,      // no connection was made, so nothing was sent
+  NoAnswer,         // may be carried out, now or seconds later
   Count
 };
 
 std::string_view
 Name(start_result aResult);
 
-enum class look_result : uint8_t
+enum class poll_result : uint8_t
 {
-  Seen,
+  Ok,
   FencedOff, // a greater fencing token was seen; nothing done
   NoAnswer,  // may have been carried out
   Count
@@ -72,7 +72,7 @@
 struct running_task
 {
   task_key mTask;
-  uint32_t mRun = 0;
+  uint32_t mRunNumber = 0;
   uint32_t mPercent = 0; // of its work
 };
 
@@ -90,7 +90,7 @@
 {
   uint64_t mNumber = 0; // counts the ends of one life of the backend server
   task_key mTask;
-  uint32_t mRun = 0;
+  uint32_t mRunNumber = 0;
   end_kind mHow = end_kind::Other;
 };
 
@@ -98,7 +98,7 @@
 struct server_snapshot
 {
   int64_t mClockMs = 0;
-  int64_t mBornMs = 0; // start of this life; 0 when it does not say
+  int64_t mStartTimeMs = 0; // start of this life; 0 when it does not say
   std::vector<running_task> mRunning;
   std::vector<ended_task> mEnded;
   // Names in either list that are none of ours.
@@ -110,11 +110,11 @@
 {
   std::string mId;
   std::string mService;
-  int64_t mBornMs = 0;
+  int64_t mStartTimeMs = 0;
   uint64_t mSequence = 0;
   bool mDraining = false;
   uint32_t mColdLeftMs = 0; // it stays slow for this long after its start
-  task_size mCapacity;
+  resources mCapacity;
   std::vector<std::string> mLabels;
 };
 
@@ -122,13 +122,13 @@
 {
 public:
   virtual ~backend_runner() = default;
-  // The answers arrive through the executor's OnStartAnswer, OnStopAnswer and
-  // OnLookAnswer, each exactly once.
-  virtual void Start(const start_order& aOrder) = 0;
-  virtual void Stop(const stop_order& aOrder) = 0;
-  virtual void Look(const look_order& aOrder) = 0;
+  // The answers arrive through the executor's OnStartReply, OnStopReply and
+  // OnPollReply, each exactly once.
+  virtual void Start(const start_request& aOrder) = 0;
+  virtual void Stop(const stop_request& aOrder) = 0;
+  virtual void Poll(const poll_request& aOrder) = 0;
   // Names the life of the backend server that later orders are meant for.
-  virtual void Expect(const std::string& aServerId) = 0;
+  virtual void ExpectInstance(const std::string& aServerId) = 0;
 };
 
 } // namespace cactusmast
--- a/cactusmast/caller_codec.h
+++ b/cactusmast/caller_codec.h
@@ -24,7 +24,7 @@
   virtual std::string EncodeEnding(job_ending aEnding) const = 0;
   virtual std::string EncodeQueueLength(uint32_t aJobs) const = 0;
   // The request header that says how many milliseconds the caller waits.
-  virtual const char* WaitHeader() const = 0;
+  virtual const char* CallerTimeoutHeader() const = 0;
 };
 
 } // namespace cactusmast
--- a/cactusmast/config_agent.cc
+++ b/cactusmast/config_agent.cc
@@ -211,7 +211,7 @@
   if (aReply.mStatus != table_status::Ok) {
     mTableTried = true;
     if (!Loaded() && !mOffered.empty()) {
-      Take(mOffered);
+      Install(mOffered);
     }
     return;
   }
@@ -253,7 +253,7 @@
 {
   const table_row* row = FindRow(aReply, kDocumentKey);
   if (aReply.mStatus == table_status::Ok && row != nullptr) {
-    Take(row->mValue);
+    Install(row->mValue);
   }
 }
 
@@ -261,7 +261,7 @@
 config_agent::OnPushed(uint64_t aVersion, const std::string& aDocument)
 {
   if (!mSafeguards.mMonotonicVersion) {
-    Take(aDocument);
+    Install(aDocument);
     return;
   }
   if (!Loaded() && !mTableTried) {
@@ -274,12 +274,12 @@
     return;
   }
   if (aVersion > mConfig.mVersion && aVersion >= mTableVersion) {
-    Take(aDocument);
+    Install(aDocument);
   }
 }
 
 void
-config_agent::Take(const std::string& aDocument)
+config_agent::Install(const std::string& aDocument)
 {
   result<deployment_config> parsed = deployment_config::Parse(aDocument);
   if (!parsed.Ok()) {
@@ -494,7 +494,7 @@
                  { "version", std::to_string(aOutcome.mVersion) },
                  { "text", aOutcome.mText } });
   if (aOutcome.mAccepted) {
-    Take(mNext.Serialize());
+    Install(mNext.Serialize());
   }
   mListener.OnChangeDone(aOutcome);
   if (!mPending.empty()) {
--- a/cactusmast/config_agent.h
+++ b/cactusmast/config_agent.h
@@ -86,7 +86,7 @@
   uint64_t mVersion = 0;
   uint64_t mRevision = 0;
   error_code mError = error_code::None;
-  run_state mRun = run_state::NotRun;
+  run_state mRunState = run_state::NotRun;
   std::string mText;
 };
 
@@ -158,7 +158,7 @@
               run_state aRun,
               const std::string& aText,
               int64_t aWallSeconds);
-  void Take(const std::string& aDocument);
+  void Install(const std::string& aDocument);
 
   config_options mOptions;
   table_store& mTable;
--- a/cactusmast/dispatcher.cc
+++ b/cactusmast/dispatcher.cc
@@ -158,7 +158,7 @@
 }
 
 bool
-dispatcher::Satisfiable(uint32_t aLane) const
+dispatcher::IsSatisfiable(uint32_t aLane) const
 {
   const std::vector<bool>& eligible = mLanes[aLane].mEligible;
   return std::find(eligible.begin(), eligible.end(), true) != eligible.end();
@@ -341,7 +341,7 @@
   mQueue.Groups(&mGroups);
   mTeamTimes.assign(mTeams.size(), 0);
   for (uint32_t i = 0; i < mTeams.size(); i++) {
-    mTeamTimes[i] = mQueue.Time(i);
+    mTeamTimes[i] = mQueue.VirtualTime(i);
   }
   mPlanTime = aNow;
   mPlanValid = true;
@@ -390,10 +390,10 @@
 }
 
 bool
-dispatcher::FirstEnd(uint32_t aLane,
-                     bool aFreeOnly,
-                     uint32_t* aWorker,
-                     double* aEnd) const
+dispatcher::EarliestFinish(uint32_t aLane,
+                           bool aFreeOnly,
+                           uint32_t* aWorker,
+                           double* aEnd) const
 {
   const lane_row& lane = mLanes[aLane];
   uint32_t laneLimit = lane.mProfile.mWorkerConcurrency;
@@ -457,9 +457,10 @@
     uint32_t freeWorker = 0;
     double end = 0;
     double freeEnd = 0;
-    bool startable =
-      !Capped(next.mLane) && FirstEnd(next.mLane, true, &freeWorker, &freeEnd);
-    if (Capped(next.mLane) || !FirstEnd(next.mLane, false, &worker, &end)) {
+    bool startable = !Capped(next.mLane) &&
+                     EarliestFinish(next.mLane, true, &freeWorker, &freeEnd);
+    if (Capped(next.mLane) ||
+        !EarliestFinish(next.mLane, false, &worker, &end)) {
       next.mQueued = 0; // nobody can take it; the others go on
       continue;
     }
@@ -510,14 +511,15 @@
 dispatcher::Finished(const completion& aDone, instant aNow)
 {
   mPlanValid = false;
-  Release(aDone.mWorker, aDone.mLane, aNow - aDone.mRun);
-  mQueue.Charge(aDone.mTeam, Seconds(aDone.mRun) - Seconds(aDone.mExpected));
+  Release(aDone.mWorker, aDone.mLane, aNow - aDone.mRunTime);
+  mQueue.Charge(aDone.mTeam,
+                Seconds(aDone.mRunTime) - Seconds(aDone.mExpected));
   if (aDone.mFailed) {
     mHealth.RecordFailure(aDone.mWorker, aNow);
     return;
   }
-  mHealth.RecordSuccess(aDone.mWorker, aNow - aDone.mRun);
-  mEstimator.Observe(aDone.mLane, aDone.mWorker, aDone.mRun);
+  mHealth.RecordSuccess(aDone.mWorker, aNow - aDone.mRunTime);
+  mEstimator.Observe(aDone.mLane, aDone.mWorker, aDone.mRunTime);
 }
 
 void
--- a/cactusmast/dispatcher.h
+++ b/cactusmast/dispatcher.h
@@ -98,7 +98,7 @@
   uint32_t mLane;
   uint32_t mTeam;
   duration mExpected; // from the assignment
-  duration mRun;
+  duration mRunTime;
   bool mFailed; // by the worker's fault, as far as can be told
 };
 
@@ -151,7 +151,7 @@
   void PutBack(job_handle aJob, uint32_t aLane, uint32_t aTeam, instant aNow);
 
   // True when some known worker could run the lane's tasks, busy or not.
-  bool Satisfiable(uint32_t aLane) const;
+  bool IsSatisfiable(uint32_t aLane) const;
   static bool Fits(const worker_traits& aTraits, const profile& aProfile);
   // The team's queued jobs of lower priority that make room for aCount tasks
   // of aLane, when its shedding order allows.
@@ -177,9 +177,9 @@
   {
     return mWorkers[aWorker].mTraits.mSlots;
   }
-  bool SetAside(uint32_t aWorker, instant aNow) const
+  bool IsQuarantined(uint32_t aWorker, instant aNow) const
   {
-    return mHealth.SetAside(aWorker, aNow);
+    return mHealth.IsQuarantined(aWorker, aNow);
   }
   uint64_t Retries() const { return mRetries; }
 
@@ -216,10 +216,10 @@
   bool Capped(uint32_t aLane) const;
   // The worker on which a task of aLane is expected to end first; false when
   // none can take it. With aFreeOnly, among those with a free slot.
-  bool FirstEnd(uint32_t aLane,
-                bool aFreeOnly,
-                uint32_t* aWorker,
-                double* aEnd) const;
+  bool EarliestFinish(uint32_t aLane,
+                      bool aFreeOnly,
+                      uint32_t* aWorker,
+                      double* aEnd) const;
   void Start(const task_queue::group& aGroup,
              uint32_t aWorker,
              instant aNow,
--- a/cactusmast/entry_directory.cc
+++ b/cactusmast/entry_directory.cc
@@ -9,12 +9,12 @@
 
 // An entry that restarts is back within about a second; the pause between two
 // dials decides how much later its executors serve it.
-constexpr duration kFirstPause = milliseconds(100);
-constexpr duration kLongestPause = milliseconds(400);
+constexpr duration kMinBackoff = milliseconds(100);
+constexpr duration kMaxBackoff = milliseconds(400);
 // One that was there a short while ago is probably being restarted: all entries
 // that lose power at once come back 0.3 to 3 s later, and until an executor
 // reaches them their callers are turned away.
-constexpr duration kLongestPauseAtFirst = milliseconds(100);
+constexpr duration kMaxBackoffAtFirst = milliseconds(100);
 constexpr duration kRestartTime = std::chrono::seconds(8);
 constexpr duration kForgetAfter = std::chrono::seconds(60);
 // An entry that restarts is not news to those that it was named to before.
@@ -23,7 +23,7 @@
 } // namespace
 
 bool
-entry_directory::Learn(const std::string& aAddress, bool aPinned, instant aNow)
+entry_directory::Add(const std::string& aAddress, bool aPinned, instant aNow)
 {
   if (aAddress == mOwn || aAddress.empty()) {
     return false;
@@ -31,7 +31,7 @@
   auto [found, added] = mRecords.try_emplace(aAddress);
   if (added) {
     found->second.mSince = aNow;
-    found->second.mPause = kFirstPause;
+    found->second.mBackoff = kMinBackoff;
   }
   found->second.mPinned = found->second.mPinned || aPinned;
   return added;
@@ -49,7 +49,7 @@
 void
 entry_directory::OnUp(const std::string& aAddress, instant aNow)
 {
-  Learn(aAddress, false, aNow);
+  Add(aAddress, false, aNow);
   auto found = mRecords.find(aAddress);
   if (found == mRecords.end()) {
     return;
@@ -58,7 +58,7 @@
   found->second.mUp = true;
   found->second.mWasUp = true;
   found->second.mSince = aNow;
-  found->second.mPause = kFirstPause;
+  found->second.mBackoff = kMinBackoff;
 }
 
 void
@@ -85,10 +85,10 @@
     }
     if (!one.mUp && aNow >= one.mNextDial) {
       due.push_back(at->first);
-      one.mNextDial = aNow + one.mPause;
+      one.mNextDial = aNow + one.mBackoff;
       bool restarting = aNow - one.mSince < kRestartTime;
-      one.mPause = std::min(restarting ? kLongestPauseAtFirst : kLongestPause,
-                            one.mPause * 2);
+      one.mBackoff = std::min(restarting ? kMaxBackoffAtFirst : kMaxBackoff,
+                              one.mBackoff * 2);
     }
     ++at;
   }
@@ -102,7 +102,7 @@
 }
 
 std::vector<std::string>
-entry_directory::Seen(instant aNow) const
+entry_directory::LiveAddresses(instant aNow) const
 {
   std::vector<std::string> seen;
   for (const auto& [address, one] : mRecords) {
--- a/cactusmast/entry_directory.h
+++ b/cactusmast/entry_directory.h
@@ -25,7 +25,7 @@
   }
 
   // True when it was not known. A pinned address is never forgotten.
-  bool Learn(const std::string& aAddress, bool aPinned, instant aNow);
+  bool Add(const std::string& aAddress, bool aPinned, instant aNow);
   void Unpin(const std::string& aAddress);
   void OnUp(const std::string& aAddress, instant aNow);
   void OnDown(const std::string& aAddress, instant aNow);
@@ -35,9 +35,9 @@
   // All addresses that are connected or were a short while ago, and the own one
   // if there is one. Only what this process has seen itself: addresses that
   // processes named to each other would never be forgotten.
-  std::vector<std::string> Seen(instant aNow) const;
+  std::vector<std::string> LiveAddresses(instant aNow) const;
   size_t Connected() const;
-  // Changes whenever an address is added to Seen().
+  // Changes whenever an address is added to LiveAddresses().
   uint64_t Revision() const { return mRevision; }
 
 private:
@@ -48,7 +48,7 @@
     bool mWasUp = false; // at some time
     instant mSince{};    // it is up, or was last up or learnt
     instant mNextDial{};
-    duration mPause{};
+    duration mBackoff{};
   };
 
   static bool IsSeen(const record& aRecord, instant aNow);
--- a/cactusmast/entry_membership.cc
+++ b/cactusmast/entry_membership.cc
@@ -110,7 +110,7 @@
 void
 entry_node::RunElections(instant aNow)
 {
-  bool settled = aNow - mStarted >= mOptions.mSettleTime;
+  bool settled = aNow - mStarted >= mOptions.mElectionDelay;
   if (!mConfig.Loaded() || !settled) {
     return;
   }
@@ -206,7 +206,7 @@
                                                mRandom,
                                                aNow,
                                                mSafeguards.mOwner);
-  shard.mOwner->SetAbsent(shard.mAbilities);
+  shard.mOwner->SetAbsent(shard.mTraits);
   shard.mStoredVersion = 0;
   shard.mNextStore = aNow;
   for (const auto& [peer, row] : mPeers) {
@@ -389,7 +389,7 @@
 // Entries that have not been heard for a while are cut off, in case the link
 // went silent and a new one would work.
 void
-entry_node::KeepEntries(instant aNow)
+entry_node::CheckEntryLinks(instant aNow)
 {
   std::vector<peer_id> silent;
   for (const auto& [peer, row] : mPeers) {
@@ -429,7 +429,7 @@
 }
 
 void
-entry_node::KeepRow(instant aNow)
+entry_node::RenewRow(instant aNow)
 {
   if (aNow >= mNextRow && mRowRequest == 0 && mWallSeconds > 0) {
     mNextRow = aNow + mOptions.mRowInterval;
--- a/cactusmast/entry_node.cc
+++ b/cactusmast/entry_node.cc
@@ -284,7 +284,7 @@
   row.mWorkerKnown = true;
   NoteSeen(row.mIdentity, aNow);
   if (!aState.services.empty()) {
-    Shard(row.mIdentity.mShard).mAbilities[row.mIdentity.mName] = {
+    Shard(row.mIdentity.mShard).mTraits[row.mIdentity.mName] = {
       TraitsOf(aState), aNow
     };
   }
@@ -301,8 +301,8 @@
   mNow = aNow;
   mWallSeconds = aWallSeconds;
   mConfig.Tick(aNow, aWallSeconds);
-  KeepRow(aNow);
-  KeepEntries(aNow);
+  RenewRow(aNow);
+  CheckEntryLinks(aNow);
   if (aNow >= mNextElection) {
     mNextElection = aNow + milliseconds(100);
     RunElections(aNow);
@@ -347,7 +347,7 @@
 }
 
 bool
-entry_node::Drained() const
+entry_node::IsDrained() const
 {
   if (!mDraining || !mRequests.empty()) {
     return false;
--- a/cactusmast/entry_node.h
+++ b/cactusmast/entry_node.h
@@ -60,7 +60,7 @@
   // Other entries not heard for this long are taken as dead.
   duration mPeerTimeout = std::chrono::seconds(3);
   // After a start, time to hear of the owners there are.
-  duration mSettleTime = std::chrono::milliseconds(1500);
+  duration mElectionDelay = std::chrono::milliseconds(1500);
   // A request waits this long for its shard to have an owner.
   duration mRouteTimeout = std::chrono::seconds(6);
   duration mRowInterval = std::chrono::seconds(10);
@@ -141,15 +141,15 @@
               duration aWait,
               instant aNow);
   // The caller's connection closed: nobody waits for its answer.
-  void CallerGone(caller_id aCaller);
+  void OnCallerDisconnected(caller_id aCaller);
   // Throws failure when it cannot be queued.
   void Change(const config_change& aChange, instant aNow);
 
   // A planned stop: nothing new is admitted, shards go to a successor, and
   // every waiting caller still gets its answer.
   void BeginDrain(instant aNow);
-  bool Draining() const { return mDraining; }
-  bool Drained() const;
+  bool IsDraining() const { return mDraining; }
+  bool IsDrained() const;
   // Ends a planned stop that took too long: every waiting caller is told what
   // is known.
   void AbortDrain(instant aNow);
@@ -174,7 +174,7 @@
   size_t OpenRequests() const { return mRequests.size(); }
   uint64_t RequestBytes() const { return mRequestBytes; }
   uint64_t ForwardedRequests() const { return mForwarded; }
-  bool Ready() const { return mConfig.Loaded() && !mDraining; }
+  bool IsReady() const { return mConfig.Loaded() && !mDraining; }
 
   // answer_sink and config_listener, for the parts of this node.
   void Answer(uint64_t aToken, wire::job_reply_msg aReply) override;
@@ -200,7 +200,7 @@
     std::unique_ptr<shard_owner> mOwner;
     std::vector<known_worker> mSeen; // by this process
     // What the workers that it saw could do, and when they last said so.
-    std::map<std::string, std::pair<worker_traits, instant>> mAbilities;
+    std::map<std::string, std::pair<worker_traits, instant>> mTraits;
     std::vector<known_worker> mRoster; // read from the table
     uint64_t mStoreRequest = 0;
     uint64_t mStoringVersion = 0;
@@ -288,8 +288,8 @@
 
   void SendStatus(instant aNow);
   void PushConfig(peer_id aPeer);
-  void KeepEntries(instant aNow);
-  void KeepRow(instant aNow);
+  void CheckEntryLinks(instant aNow);
+  void RenewRow(instant aNow);
   void StoreRosters(instant aNow);
   void OnEntryRows(const table_reply& aReply, instant aNow);
   void OnRosters(const table_reply& aReply, instant aNow);
--- a/cactusmast/entry_requests.cc
+++ b/cactusmast/entry_requests.cc
@@ -127,7 +127,7 @@
 }
 
 void
-entry_node::CallerGone(caller_id aCaller)
+entry_node::OnCallerDisconnected(caller_id aCaller)
 {
   auto found = mTokenByCaller.find(aCaller);
   if (found == mTokenByCaller.end()) {
--- a/cactusmast/error.h
+++ b/cactusmast/error.h
@@ -64,7 +64,7 @@
     , mCode(aCode)
     , mStep(std::move(aStep))
     , mPeer(std::move(aPeer))
-    , mRun(aRun)
+    , mRunState(aRun)
     , mRetryAfter(aRetryAfter)
   {
   }
@@ -72,7 +72,7 @@
   error_code Code() const { return mCode; }
   const std::string& Step() const { return mStep; }
   const std::string& Peer() const { return mPeer; }
-  run_state Run() const { return mRun; }
+  run_state RunState() const { return mRunState; }
   // Zero: no advice.
   std::chrono::milliseconds RetryAfter() const { return mRetryAfter; }
 
@@ -80,7 +80,7 @@
   error_code mCode;
   std::string mStep;
   std::string mPeer;
-  run_state mRun;
+  run_state mRunState;
   std::chrono::milliseconds mRetryAfter;
 };
 
--- a/cactusmast/evacuation.cc
+++ b/cactusmast/evacuation.cc
@@ -15,13 +15,13 @@
 } // namespace
 
 const evacuation_state&
-evacuation_rows::Apply(const table_change& aChange)
+evacuation_reader::Apply(const table_change& aChange)
 {
   std::set<std::string> before;
   if (aChange.mWhole) {
     before.swap(mState.mDataCenters);
   }
-  for (const watched_row& row : aChange.mRows) {
+  for (const store_row& row : aChange.mRows) {
     std::optional<std::string> center = mCodec.DataCenterOf(row.mKey);
     if (!center) {
       continue;
@@ -47,7 +47,7 @@
 }
 
 bool
-evacuation_record::Offer(const evacuation_news& aNews)
+evacuation_tracker::Update(const evacuation_update& aNews)
 {
   const evacuation_state& state = aNews.mState;
   if (state.mVersion < mState.mVersion) {
@@ -69,7 +69,7 @@
 }
 
 std::unique_ptr<wire::evacuations_msg>
-EncodeEvacuations(const evacuation_record& aRecord, instant aNow)
+EncodeEvacuations(const evacuation_tracker& aRecord, instant aNow)
 {
   const evacuation_state& state = aRecord.State();
   if (state.mVersion == 0) {
@@ -84,13 +84,13 @@
   return made;
 }
 
-std::optional<evacuation_news>
+std::optional<evacuation_update>
 DecodeEvacuations(const wire::evacuations_msg* aMessage, instant aNow)
 {
   if (aMessage == nullptr) {
     return std::nullopt;
   }
-  evacuation_news news;
+  evacuation_update news;
   news.mState.mVersion = aMessage->version;
   news.mState.mDataCenters.insert(aMessage->data_centers.begin(),
                                   aMessage->data_centers.end());
--- a/cactusmast/evacuation.h
+++ b/cactusmast/evacuation.h
@@ -7,9 +7,9 @@
 // entry, late or twice. Each order carries the state that its entry knows, so
 // that an executor that has just started knows it before it starts anything.
 //
-//   evacuation_rows rows(codec, events);      // at a reader of the store
-//   evacuation_record record;                 // at each process
-//   if (record.Offer(rows.Apply(change), now)) ...
+//   evacuation_reader rows(codec, events);      // at a reader of the store
+//   evacuation_tracker record;                  // at each process
+//   if (record.Update(rows.Apply(change), now)) ...
 //   if (record.Has("a")) ...
 //
 // Invariants:
@@ -40,7 +40,7 @@
 };
 
 // A state, and when the store told it, to whichever process.
-struct evacuation_news
+struct evacuation_update
 {
   evacuation_state mState;
   instant mConfirmedAt{};
@@ -58,10 +58,10 @@
 };
 
 // Follows the rows of the store's table.
-class evacuation_rows
+class evacuation_reader
 {
 public:
-  evacuation_rows(const evacuation_codec& aCodec, event_sink& aEvents)
+  evacuation_reader(const evacuation_codec& aCodec, event_sink& aEvents)
     : mCodec(aCodec)
     , mEvents(aEvents)
   {
@@ -76,12 +76,12 @@
   evacuation_state mState;
 };
 
-class evacuation_record
+class evacuation_tracker
 {
 public:
   // Takes aNews over unless something newer is known. True if other data
   // centres are being evacuated now than before.
-  bool Offer(const evacuation_news& aNews);
+  bool Update(const evacuation_update& aNews);
 
   bool Has(const std::string& aDataCenter) const
   {
@@ -101,10 +101,10 @@
 
 // For messages between processes.
 std::unique_ptr<wire::evacuations_msg>
-EncodeEvacuations(const evacuation_record& aRecord, instant aNow);
+EncodeEvacuations(const evacuation_tracker& aRecord, instant aNow);
 
 // Empty for a null aMessage: the sender knows nothing yet.
-std::optional<evacuation_news>
+std::optional<evacuation_update>
 DecodeEvacuations(const wire::evacuations_msg* aMessage, instant aNow);
 
 // The names, for log lines.
--- a/cactusmast/executor_subset.cc
+++ b/cactusmast/executor_subset.cc
@@ -51,9 +51,9 @@
 }
 
 bool
-executor_subset::NoteRoom(double aFreeShare, bool aShort, instant aNow)
+executor_subset::AdjustSize(double aFreeShare, bool aShort, instant aNow)
 {
-  if (mSize == kWholeFleet) {
+  if (mSize == kUnlimitedSubset) {
     return false;
   }
   if (aFreeShare < kPlentyShare || aShort) {
@@ -64,14 +64,14 @@
   bool isShort = aFreeShare < kShortShare || aShort;
   if (full && isShort && aNow - mResizedAt >= kWidenInterval) {
     size_t wider = mSize + mSize / kWidenDivisor;
-    return Resize(std::min({ wider, kMostSubset, mUsable.size() }), aNow);
+    return Resize(std::min({ wider, kMaxSubsetSize, mUsable.size() }), aNow);
   }
   bool plenty =
     aNow - mScarceAt >= kNarrowAfter && aNow - mResizedAt >= kNarrowInterval;
   if (!plenty) {
     return false;
   }
-  return Resize(std::max(kLeastSubset, mSize - mSize / kNarrowDivisor), aNow);
+  return Resize(std::max(kMinSubsetSize, mSize - mSize / kNarrowDivisor), aNow);
 }
 
 bool
--- a/cactusmast/executor_subset.h
+++ b/cactusmast/executor_subset.h
@@ -14,7 +14,7 @@
 //   executor_subset subset("entry-1", "a");
 //   subset.Add(7, "side-7", "a");
 //   subset.SetUsable(7, true);
-//   subset.NoteRoom(0.4, false, now);
+//   subset.AdjustSize(0.4, false, now);
 //   for (peer_id peer : subset.Update().mJoined) ...
 //
 // Invariants:
@@ -38,11 +38,11 @@
 
 // Enough for the widest ordinary job, and for some of each kind of backend
 // server to be among them.
-constexpr size_t kLeastSubset = 32;
+constexpr size_t kMinSubsetSize = 32;
 // Reports of more cost an entry more than the room among them is worth.
-constexpr size_t kMostSubset = 96;
+constexpr size_t kMaxSubsetSize = 96;
 // Of an entry that places on all executors.
-constexpr size_t kWholeFleet = SIZE_MAX;
+constexpr size_t kUnlimitedSubset = SIZE_MAX;
 
 class executor_subset
 {
@@ -53,10 +53,10 @@
     std::vector<peer_id> mLeft;
   };
 
-  // aSize: kLeastSubset or kWholeFleet.
+  // aSize: kMinSubsetSize or kUnlimitedSubset.
   executor_subset(std::string aOwner,
                   std::string aDataCenter,
-                  size_t aSize = kLeastSubset)
+                  size_t aSize = kMinSubsetSize)
     : mOwner(std::move(aOwner))
     , mDataCenter(std::move(aDataCenter))
     , mSize(aSize)
@@ -72,7 +72,7 @@
 
   // aFreeShare: the unused part of the members' processors, 0 to 1. aShort: a
   // task found no place among them. True when the size has changed.
-  bool NoteRoom(double aFreeShare, bool aShort, instant aNow);
+  bool AdjustSize(double aFreeShare, bool aShort, instant aNow);
 
   // Who became a member and who no longer is one since the last call. A
   // removed executor is in neither.
--- a/cactusmast/guard_node.cc
+++ b/cactusmast/guard_node.cc
@@ -160,7 +160,7 @@
       break;
     case message_kind::records:
       if (IsHolder(aPeer)) {
-        Adopt(*aMessage.Asrecords(), aNow);
+        AddRecordCopies(*aMessage.Asrecords(), aNow);
       }
       break;
     case message_kind::config_push:
@@ -407,11 +407,11 @@
 // owner does not wait that long: an owner may be trying to reach it over a
 // link that only seems to be open.
 void
-guard_node::KeepLinks(instant aNow)
+guard_node::DropSilentLinks(instant aNow)
 {
   for (auto entry = mPeers.begin(); entry != mPeers.end();) {
     duration limit =
-      Leased(aNow) ? mOptions.mLinkSilence : mOptions.mOwnerlessSilence;
+      Leased(aNow) ? mOptions.mLinkTimeout : mOptions.mUnleasedLinkTimeout;
     bool silent = aNow - entry->second.mLastHeard > limit;
     if (!silent) {
       ++entry;
@@ -472,7 +472,7 @@
   }
   if (aNow >= mNextConnect) {
     mNextConnect = aNow + kConnectInterval;
-    KeepLinks(aNow);
+    DropSilentLinks(aNow);
     ConnectMissing();
   }
   FlushResults();
@@ -509,7 +509,7 @@
 }
 
 bool
-guard_node::Drained() const
+guard_node::IsDrained() const
 {
   return mDraining && mRunning == 0 && (mRecordsHandedOver || mRecords.empty());
 }
--- a/cactusmast/guard_node.h
+++ b/cactusmast/guard_node.h
@@ -51,9 +51,9 @@
   // Announcements not renewed for this long end.
   duration mAnnouncementLife = std::chrono::seconds(2);
   // Links over which nothing came for this long are replaced.
-  duration mLinkSilence = std::chrono::seconds(45);
+  duration mLinkTimeout = std::chrono::seconds(45);
   // The same while no entry holds the lease.
-  duration mOwnerlessSilence = std::chrono::seconds(4);
+  duration mUnleasedLinkTimeout = std::chrono::seconds(4);
   duration mTableInterval = std::chrono::seconds(30);
 };
 
@@ -98,11 +98,11 @@
   virtual void Cancel(const task_ref& aRef) = 0;
 };
 
-struct task_end
+struct task_completion
 {
   task_ref mRef;
   task_outcome mOutcome = task_outcome::Failed;
-  run_state mRun = run_state::Unknown;
+  run_state mRunState = run_state::Unknown;
   task_reason mReason = task_reason::None;
   std::string mOutput;
 };
@@ -134,14 +134,14 @@
   // Announces or renews. Throws failure(Draining) during a planned stop.
   void Announce(const backend_announcement& aBackend, instant aNow);
   void Withdraw(instant aNow);
-  void OnTaskEnded(const task_end& aEnd, instant aNow);
+  void OnTaskEnded(const task_completion& aEnd, instant aNow);
 
   void Tick(instant aNow);
 
   // A planned stop: nothing new starts; running tasks finish, their results
   // are acknowledged and the records handed to the owner.
   void BeginDrain(instant aNow);
-  bool Drained() const;
+  bool IsDrained() const;
 
   uint64_t ConfigVersion() const { return mConfig.mVersion; }
   const guard_counters& Counters() const { return mCounters; }
@@ -152,7 +152,7 @@
   bool Leased(instant aNow) const;
   const backend_announcement& Backend() const { return mBackend; }
   bool Announced() const { return mAnnounced; }
-  bool Draining() const { return mDraining; }
+  bool IsDraining() const { return mDraining; }
 
 private:
   struct peer_row
@@ -194,15 +194,15 @@
   void OnFetch(peer_id aPeer, const wire::fetch_msg& aFetch);
   void OnVersionRead(const table_reply& aReply);
   void OnConfig(const wire::config_push_msg& aPush);
-  void Adopt(const wire::records_msg& aRecords, instant aNow);
+  void AddRecordCopies(const wire::records_msg& aRecords, instant aNow);
   void OnPeerStatus(const wire::peer_status_msg& aStatus);
   void Acknowledge(const std::vector<task_ref>& aRefs);
 
   // Why aItem may not start here, or None.
-  task_reason MayStart(peer_id aPeer,
-                       const wire::dispatch_msg& aDispatch,
-                       const wire::dispatch_item_msg& aItem,
-                       instant aNow) const;
+  task_reason RefusalReason(peer_id aPeer,
+                            const wire::dispatch_msg& aDispatch,
+                            const wire::dispatch_item_msg& aItem,
+                            instant aNow) const;
   void StartTask(const wire::dispatch_item_msg& aItem, instant aNow);
   void Refuse(peer_id aPeer, const task_ref& aRef, task_reason aReason);
   void Finish(const task_ref& aRef, record& aRecord, instant aNow);
@@ -224,7 +224,7 @@
   void FlushResults();
   void NoticePause(instant aNow);
   void DropOlderLinks(const peer_identity& aIdentity);
-  void KeepLinks(instant aNow);
+  void DropSilentLinks(instant aNow);
   void ConnectMissing();
   void FinishDrain();
 
--- a/cactusmast/guard_tasks.cc
+++ b/cactusmast/guard_tasks.cc
@@ -50,10 +50,10 @@
 }
 
 task_reason
-guard_node::MayStart(peer_id aPeer,
-                     const wire::dispatch_msg& aDispatch,
-                     const wire::dispatch_item_msg& aItem,
-                     instant aNow) const
+guard_node::RefusalReason(peer_id aPeer,
+                          const wire::dispatch_msg& aDispatch,
+                          const wire::dispatch_item_msg& aItem,
+                          instant aNow) const
 {
   bool holder = IsHolder(aPeer) && aDispatch.epoch == mEpoch && mLeaseHeld;
   if (mSafeguards.mCheckEpoch && !holder) {
@@ -101,7 +101,7 @@
       }
       continue;
     }
-    task_reason reason = MayStart(aPeer, aDispatch, item, aNow);
+    task_reason reason = RefusalReason(aPeer, aDispatch, item, aNow);
     if (reason != task_reason::None) {
       Refuse(aPeer, item.ref, reason);
       continue;
@@ -160,7 +160,7 @@
 }
 
 void
-guard_node::OnTaskEnded(const task_end& aEnd, instant aNow)
+guard_node::OnTaskEnded(const task_completion& aEnd, instant aNow)
 {
   auto found = mRecords.find(aEnd.mRef);
   if (found == mRecords.end() ||
@@ -171,7 +171,7 @@
   wire::task_result_msg& made = row.mResult;
   made.ref = aEnd.mRef;
   made.outcome = uint8_t(aEnd.mOutcome);
-  made.run = uint8_t(aEnd.mRun);
+  made.run = uint8_t(aEnd.mRunState);
   made.reason = uint8_t(aEnd.mReason);
   made.output = aEnd.mOutput;
   made.run_us = uint64_t((aNow - row.mStarted).count());
@@ -338,7 +338,7 @@
 // Keeps the start records of a guard that stopped as planned. They hold no
 // results, but show a later owner that the tasks were started.
 void
-guard_node::Adopt(const wire::records_msg& aRecords, instant aNow)
+guard_node::AddRecordCopies(const wire::records_msg& aRecords, instant aNow)
 {
   for (const wire::record_summary& item : aRecords.items) {
     bool started = item.state() != uint8_t(record_state::Tombstone);
--- a/cactusmast/health.cc
+++ b/cactusmast/health.cc
@@ -67,8 +67,8 @@
     entry.mEvidence = std::max(0.0, entry.mEvidence);
   }
   entry.mRamp = std::min(kMaxRamp, entry.mRamp * 2);
-  entry.mPause = {};
-  entry.mResumeAt = {};
+  entry.mQuarantine = {};
+  entry.mQuarantinedUntil = {};
 }
 
 void
@@ -89,21 +89,22 @@
     return;
   }
   entry.mEvidence = kThreshold;
-  bool alreadyPaused = entry.mResumeAt > aNow;
+  bool alreadyPaused = entry.mQuarantinedUntil > aNow;
   if (alreadyPaused) {
     return; // a task that was started before the pause
   }
-  entry.mPause =
-    entry.mPause.count() == 0
-      ? mOptions.mFirstPause
-      : std::min(mOptions.mMaxPause, entry.mPause * mOptions.mPauseFactor);
-  entry.mResumeAt = aNow + entry.mPause;
+  entry.mQuarantine =
+    entry.mQuarantine.count() == 0
+      ? mOptions.mFirstQuarantine
+      : std::min(mOptions.mMaxQuarantine,
+                 entry.mQuarantine * mOptions.mQuarantineFactor);
+  entry.mQuarantinedUntil = aNow + entry.mQuarantine;
 }
 
 bool
-worker_health::SetAside(uint32_t aWorker, instant aNow) const
+worker_health::IsQuarantined(uint32_t aWorker, instant aNow) const
 {
-  return mOptions.mEnabled && mRows[aWorker].mResumeAt > aNow &&
+  return mOptions.mEnabled && mRows[aWorker].mQuarantinedUntil > aNow &&
          MedianFailureRate() <= kFleetFailing;
 }
 
@@ -114,7 +115,7 @@
     return aSlots;
   }
   const row& entry = mRows[aWorker];
-  if (entry.mResumeAt > aNow && SetAside(aWorker, aNow)) {
+  if (entry.mQuarantinedUntil > aNow && IsQuarantined(aWorker, aNow)) {
     return 0;
   }
   return std::min(aSlots, entry.mRamp);
--- a/cactusmast/health.h
+++ b/cactusmast/health.h
@@ -27,9 +27,9 @@
 {
   // First pause of a worker that was set aside, and the factor by which it
   // grows with every failed trial, up to the limit.
-  duration mFirstPause = std::chrono::seconds(5);
-  uint32_t mPauseFactor = 6;
-  duration mMaxPause = std::chrono::minutes(5);
+  duration mFirstQuarantine = std::chrono::seconds(5);
+  uint32_t mQuarantineFactor = 6;
+  duration mMaxQuarantine = std::chrono::minutes(5);
   // Off only in tests that show what the check is for.
   bool mEnabled = true;
 };
@@ -52,7 +52,7 @@
   // Tasks that aWorker may hold at once, at most aSlots; 0 while set aside.
   uint32_t Limit(uint32_t aWorker, uint32_t aSlots, instant aNow) const;
 
-  bool SetAside(uint32_t aWorker, instant aNow) const;
+  bool IsQuarantined(uint32_t aWorker, instant aNow) const;
 
 private:
   struct row
@@ -62,8 +62,8 @@
     double mFailureRate = 0;
     uint32_t mResults = 0;
     uint32_t mRamp = 1;
-    duration mPause{};
-    instant mResumeAt{};
+    duration mQuarantine{};
+    instant mQuarantinedUntil{};
     instant mLastFailure{};
   };
 
--- a/cactusmast/job_coordinator.cc
+++ b/cactusmast/job_coordinator.cc
@@ -57,12 +57,12 @@
     mCallerJobs[aRequest.mCaller] = aRequest.mJob;
     return;
   }
-  if (RefuseImpossible(aRequest) || RefuseEvacuated(aRequest)) {
+  if (RefuseUnsatisfiable(aRequest) || RefuseEvacuated(aRequest)) {
     return;
   }
   // Room that has come since all was last tried belongs to what is most urgent
   // of all, not to whoever comes next.
-  bool behind = mRoomChanged && !mWaiting.empty();
+  bool behind = mCapacityChanged && !mWaiting.empty();
   const job& made = Admit(aRequest, aNow);
   if (!behind) {
     PlaceNew(made, aNow);
@@ -72,17 +72,17 @@
 }
 
 bool
-job_coordinator::RefuseImpossible(const job_request& aRequest)
+job_coordinator::RefuseUnsatisfiable(const job_request& aRequest)
 {
   const std::string& service = aRequest.mRoute->mService;
   for (const job_step& step : aRequest.mSubmission.mSteps) {
-    if (!CanNeverRun(mViews, service, step)) {
+    if (!IsUnsatisfiable(mViews, service, step)) {
       continue;
     }
     job_outcome never{ job_ending::Failed, "no backend server can hold it" };
     mCounters.mFailed++;
     mEvents.Emit(event_code::JobRefused,
-                 { { "job", JobText(aRequest.mJob) },
+                 { { "job", FormatJobId(aRequest.mJob) },
                    { "reason", never.mReason },
                    { "cpu_millis", std::to_string(step.mSize.mCpuMillis) },
                    { "servers", std::to_string(mViews.size()) } });
@@ -108,15 +108,16 @@
   // A caller that says how long it waits is served that long, also beyond its
   // route's timeout. Otherwise tasks that run longer than the timeout would be
   // ended while their callers wait and their objective is not over.
-  uint32_t waitMs = aRequest.mWaitMs > 0 ? aRequest.mWaitMs : way.mTimeoutMs;
+  uint32_t waitMs =
+    aRequest.mCallerTimeoutMs > 0 ? aRequest.mCallerTimeoutMs : way.mTimeoutMs;
   made.mDeadline = aNow + milliseconds(waitMs) - kAnswerMargin;
   uint32_t longest = 0;
   for (const job_step& step : made.mSubmission.mSteps) {
-    longest = std::max(longest, step.mEstimateMs);
+    longest = std::max(longest, step.mDeclaredMs);
     made.mTasks.emplace_back(step.mCount);
     made.mLeft += step.mCount;
   }
-  made.mWaitMs = aRequest.mWaitMs;
+  made.mCallerTimeoutMs = aRequest.mCallerTimeoutMs;
   ApplyForecast(made, longest, aNow);
   mDeadlines.insert({ made.mDeadline, made.mId });
   for (size_t s = 0; s < made.mTasks.size(); s++) {
@@ -126,13 +127,13 @@
   }
   mEvents.Emit(
     event_code::JobAccepted,
-    { { "job", JobText(made.mId) },
+    { { "job", FormatJobId(made.mId) },
       { "route", way.mName },
       { "config_version", std::to_string(made.mTable->Config().mVersion) },
       { "tasks", std::to_string(made.mLeft) },
       { "estimate_ms", std::to_string(longest) },
-      { "forecast_ms", std::to_string(int(made.mRunShare * longest)) },
-      { "elapsed_ms", std::to_string(ToMs(aNow - made.mSentAt)) },
+      { "forecast_ms", std::to_string(int(made.mRunTimeFactor * longest)) },
+      { "elapsed_ms", std::to_string(ToMs(aNow - made.mFirstSentAt)) },
       { "wait_ms", std::to_string(waitMs) } });
   return made;
 }
@@ -143,16 +144,17 @@
   const route& way = *aJob.mRoute;
   double declaredMs = std::max<double>(1, aDeclaredMs);
   bool forecasts = mMechanisms.Has(mechanism::WaitForecasts);
-  run_forecast forecast =
-    mWaits.Forecast(way.mName, declaredMs, forecasts ? aJob.mWaitMs : 0);
-  aJob.mRunShare = forecast.mRunMs / declaredMs;
+  run_forecast forecast = mTimeoutModel.Forecast(
+    way.mName, declaredMs, forecasts ? aJob.mCallerTimeoutMs : 0);
+  aJob.mRunTimeFactor = forecast.mRunMs / declaredMs;
   aJob.mRunSigma = forecast.mSigma;
-  aJob.mSentAt = MsFrom(aNow, -forecast.mElapsedMs);
+  aJob.mFirstSentAt = MsFrom(aNow, -forecast.mElapsedMs);
   aJob.mObjectiveAt =
-    MsFrom(aJob.mSentAt,
+    MsFrom(aJob.mFirstSentAt,
            way.mObjectiveStretch * forecast.mRunMs + way.mObjectiveBaseMs);
   aJob.mUsefulUntil =
-    aJob.mSentAt + kUsefulObjectives * (aJob.mObjectiveAt - aJob.mSentAt);
+    aJob.mFirstSentAt +
+    kUsefulObjectives * (aJob.mObjectiveAt - aJob.mFirstSentAt);
   if (forecast.mElapsedMs > 0) {
     // Its caller still waits, and may have what is left of the room.
     aJob.mUsefulUntil = aJob.mDeadline;
@@ -163,11 +165,11 @@
 job_coordinator::ExpectedMs(const job& aJob, const job_step& aStep)
 {
   return std::clamp(
-    aJob.mRunShare * aStep.mEstimateMs, kLeastRunMs, kLongestRunMs);
+    aJob.mRunTimeFactor * aStep.mDeclaredMs, kMinRunMs, kMaxRunMs);
 }
 
 void
-job_coordinator::OnCallerGone(caller_id aCaller)
+job_coordinator::OnCallerDisconnected(caller_id aCaller)
 {
   auto found = mCallerJobs.find(aCaller);
   if (found == mCallerJobs.end()) {
@@ -184,10 +186,10 @@
   }
   mCounters.mGivenUp++;
   mEvents.Emit(event_code::JobCancelled,
-               { { "job", JobText(id) },
+               { { "job", FormatJobId(id) },
                  { "reason", "its caller is gone" },
                  { "left", std::to_string(left.mLeft) } });
-  Withdraw(left);
+  StopTasks(left);
   mDeadlines.erase({ left.mDeadline, id });
   mJobs.erase(id);
 }
@@ -204,7 +206,7 @@
 
 // Stops and forgets all tasks of a job that nobody waits for any more.
 void
-job_coordinator::Withdraw(job& aJob)
+job_coordinator::StopTasks(job& aJob)
 {
   std::map<std::pair<peer_id, uint32_t>, std::vector<uint32_t>> stops;
   for (size_t s = 0; s < aJob.mTasks.size(); s++) {
@@ -214,10 +216,10 @@
       if (one.mState == task_state::Waiting) {
         mWaiting.erase(WaitingKey(aJob, key));
       } else if (one.mState == task_state::Placed) {
-        stops[{ one.mAt, uint32_t(s) }].push_back(uint32_t(i));
-        NoteEnded(one.mAt, key);
-      } else if (one.mState == task_state::Settling) {
-        mSettling.erase({ one.mSettledAt, key });
+        stops[{ one.mExecutor, uint32_t(s) }].push_back(uint32_t(i));
+        RemoveOpenTask(one.mExecutor, key);
+      } else if (one.mState == task_state::Orphaned) {
+        mOrphans.erase({ one.mOrphanedUntil, key });
       }
     }
   }
@@ -241,12 +243,12 @@
   for (const auto& step : aJob.mTasks) {
     for (const task& one : step) {
       waiting += one.mState == task_state::Waiting ? 1 : 0;
-      settling += one.mState == task_state::Settling ? 1 : 0;
+      settling += one.mState == task_state::Orphaned ? 1 : 0;
       attempts += one.mAttempt;
     }
   }
   mEvents.Emit(event_code::JobDecided,
-               { { "job", JobText(aJob.mId) },
+               { { "job", FormatJobId(aJob.mId) },
                  { "route", aJob.mRoute->mName },
                  { "ending", std::string(Name(aOutcome.mEnding)) },
                  { "reason", aOutcome.mReason },
@@ -282,7 +284,7 @@
   (completed ? mCounters.mCompletedIn : mCounters.mOtherwiseIn)
     .Observe(aNow - ended.mAcceptedAt);
   LogOutcome(ended, aOutcome, aNow);
-  Withdraw(ended);
+  StopTasks(ended);
   mDeadlines.erase({ ended.mDeadline, aJob });
   std::vector<caller_id> callers = std::move(ended.mCallers);
   mJobs.erase(aJob);
@@ -293,15 +295,15 @@
 }
 
 bool
-job_coordinator::IsBegun(const job& aJob)
+job_coordinator::IsDispatched(const job& aJob)
 {
-  if (aJob.mRan) {
+  if (aJob.mAnyStarted) {
     return true;
   }
   for (const auto& step : aJob.mTasks) {
     for (const task& one : step) {
       bool ordered =
-        one.mState != task_state::Waiting && one.mState != task_state::Chosen;
+        one.mState != task_state::Waiting && one.mState != task_state::Reserved;
       if (ordered) {
         return true;
       }
@@ -313,7 +315,7 @@
 bool
 job_coordinator::MayHaveRun(const job& aJob) const
 {
-  if (aJob.mRan) {
+  if (aJob.mAnyStarted) {
     return true;
   }
   for (const auto& step : aJob.mTasks) {
@@ -356,14 +358,14 @@
 bool
 job_coordinator::IsPlacingDue(instant aNow) const
 {
-  return mRoomChanged && aNow - mPlacedAt >= kPlaceInterval;
+  return mCapacityChanged && aNow - mPlacedAt >= kPlaceInterval;
 }
 
 void
 job_coordinator::Tick(instant aNow)
 {
   DropSilentExecutors(aNow);
-  ExpireSettling(aNow);
+  ExpireOrphans(aNow);
   ExpireJobs(aNow);
   if (IsPlacingDue(aNow) && !mWaiting.empty()) {
     PlaceWaiting(aNow);
--- a/cactusmast/job_coordinator.h
+++ b/cactusmast/job_coordinator.h
@@ -12,7 +12,7 @@
 // Invariants:
 // - A task has at most one attempt that may be running. After the connection
 //   to an executor is lost, its tasks are placed again only once the executor
-//   and the backend server have certainly ended them (kSettleTime).
+//   and the backend server have certainly ended them (kMaxOrphanLifetime).
 // - A job is answered once: completed with all tasks done, failed, refused, or
 //   expired. Refused is said only if no attempt can have started.
 // - When the last caller of a job goes away its tasks are stopped.
@@ -37,18 +37,18 @@
 #include "cactusmast/ports.h"
 #include "cactusmast/route_config.h"
 #include "cactusmast/task_executor.h"
-#include "cactusmast/wait_model.h"
+#include "cactusmast/timeout_model.h"
 
 namespace cactusmast {
 
 // After a connection was lost, what was ordered over it runs at most until the
-// executor notices (kOwnerSilence) or, if that is what died, until the lease
+// executor notices (kEntryTimeout) or, if that is what died, until the lease
 // at the backend server ends; then comes the stop, which takes up to 50 ms.
-constexpr duration kSettleTime = kOwnerSilence + milliseconds(100);
+constexpr duration kMaxOrphanLifetime = kEntryTimeout + milliseconds(100);
 // An executor with tasks of this entry reports every 150 ms, and one that is
 // asked for a report sends it at once. One that has not been heard for this
 // long although it should have been is taken to be gone.
-constexpr duration kExecutorSilence = milliseconds(550);
+constexpr duration kExecutorTimeout = milliseconds(550);
 
 enum class job_ending : uint8_t
 {
@@ -84,8 +84,8 @@
   virtual void Stop(peer_id aExecutor, wire::stop_tasks_msg aOrder) = 0;
   virtual void Subscribe(peer_id aExecutor, bool aWanted) = 0;
   // Other data centres are being evacuated than the executor was told.
-  virtual void TellEvacuations(peer_id aExecutor) = 0;
-  virtual void Drop(peer_id aExecutor) = 0;
+  virtual void SendEvacuations(peer_id aExecutor) = 0;
+  virtual void Close(peer_id aExecutor) = 0;
 };
 
 struct job_request
@@ -96,7 +96,7 @@
   std::shared_ptr<const route_table> mTable; // keeps mRoute alive
   const route* mRoute = nullptr;
   // How long the caller waits; 0: it does not say, so the route's timeout.
-  uint32_t mWaitMs = 0;
+  uint32_t mCallerTimeoutMs = 0;
 };
 
 struct coordinator_counters
@@ -106,8 +106,8 @@
   uint64_t mFailed = 0;
   uint64_t mRefused = 0;
   uint64_t mExpired = 0;
-  uint64_t mGivenUp = 0; // by their callers
-  uint64_t mOrders = 0;  // messages to executors
+  uint64_t mGivenUp = 0;    // by their callers
+  uint64_t mDispatches = 0; // messages to executors
   uint64_t mAttempts = 0;
   uint64_t mBounced = 0; // attempts that an executor did not start
   uint64_t mLost = 0;
@@ -129,7 +129,7 @@
 
   // Answers at once or later, once.
   void Submit(job_request aRequest, instant aNow);
-  void OnCallerGone(caller_id aCaller);
+  void OnCallerDisconnected(caller_id aCaller);
   // False when no such job is open here.
   bool Cancel(uint64_t aJob, instant aNow);
   // Answers all open jobs, refused or expired as each is, and withdraws their
@@ -143,10 +143,11 @@
                 const wire::server_report_msg& aSaid,
                 instant aNow);
   // What the store or another entry says.
-  void OnEvacuations(const std::optional<evacuation_news>& aSaid, instant aNow);
+  void OnEvacuations(const std::optional<evacuation_update>& aSaid,
+                     instant aNow);
   void Tick(instant aNow);
 
-  const evacuation_record& Evacuations() const { return mEvacuations; }
+  const evacuation_tracker& Evacuations() const { return mEvacuations; }
   size_t OpenJobs() const { return mJobs.size(); }
   size_t WaitingTasks() const { return mWaiting.size(); }
   // Jobs of aRoute of which no task was started.
@@ -158,27 +159,28 @@
   // Those with open tasks, which must hear from this entry all the time.
   const std::set<peer_id>& BusyExecutors() const { return mBusy; }
   const coordinator_counters& Counters() const { return mCounters; }
-  wait_model& Waits() { return mWaits; }
+  timeout_model& TimeoutModel() { return mTimeoutModel; }
 
 private:
   enum class task_state : uint8_t
   {
     Waiting,
-    Chosen, // a place is found; the order goes out in this same turn
+    Reserved, // a place is found; the order goes out in this same turn
     Placed,
-    Settling, // may still run until a time that is known
+    Orphaned, // may still run until a time that is known
     Done
   };
 
   struct task
   {
     task_state mState = task_state::Waiting;
-    peer_id mAt = 0;
+    peer_id mExecutor = 0;
     uint32_t mAttempt = 0;
     uint32_t mFailures = 0;
-    uint32_t mMeasuredMs = 0; // estimate by its own progress; 0: none yet
+    // Estimate by its own progress; 0: none yet.
+    uint32_t mProgressEstimateMs = 0;
     peer_id mAvoid = 0;
-    instant mSettledAt{};
+    instant mOrphanedUntil{};
   };
 
   struct job
@@ -189,29 +191,29 @@
     std::shared_ptr<const route_table> mTable;
     const route* mRoute = nullptr;
     instant mAcceptedAt{};
-    instant mSentAt{};    // first, as far as can be known
-    double mWaitMs = 0;   // of the caller; 0: it does not say
-    double mRunShare = 1; // forecast run time over the declared one
+    instant mFirstSentAt{};      // first, as far as can be known
+    double mCallerTimeoutMs = 0; // of the caller; 0: it does not say
+    double mRunTimeFactor = 1;   // forecast run time over the declared one
     double mRunSigma = kDeclaredSigma;
     instant mObjectiveAt{};
     instant mDeadline{};
     instant mUsefulUntil{};                // estimated
     std::vector<std::vector<task>> mTasks; // by step and index
     uint32_t mLeft = 0;
-    bool mRan = false; // an attempt ended that was started
+    bool mAnyStarted = false; // an attempt ended that was started
   };
 
   struct executor
   {
     size_t mView = 0;                   // index in mViews
     executor_subset* mSubset = nullptr; // of its service, once that is known
-    instant mHeardAt{};
-    instant mAwaitedSince{}; // zero: nothing need be heard
-    uint64_t mLastOffer = 0;
+    instant mLastHeard{};
+    instant mReportDueSince{}; // zero: nothing need be heard
+    uint64_t mLastDispatchNumber = 0;
     // What was ordered and not yet accounted for by a report.
-    std::map<uint64_t, task_size> mUnreported;
+    std::map<uint64_t, resources> mUnreported;
     std::set<task_key> mTasks;
-    task_size mReportedFree;
+    resources mReportedFree;
   };
 
   // Most urgent first: the latest start that still meets the objective, then
@@ -219,17 +221,17 @@
   using waiting_key = std::tuple<instant, uint32_t, task_key>;
 
   // True when it was answered: no backend server can ever hold it.
-  bool RefuseImpossible(const job_request& aRequest);
+  bool RefuseUnsatisfiable(const job_request& aRequest);
   // True when it was answered: all backend servers are being evacuated.
   bool RefuseEvacuated(const job_request& aRequest);
   const job& Admit(job_request& aRequest, instant aNow);
   // What the caller's wait says of its job.
   void ApplyForecast(job& aJob, uint32_t aDeclaredMs, instant aNow);
   static double ExpectedMs(const job& aJob, const job_step& aStep);
-  void LearnRun(const job& aJob,
-                const task_key& aKey,
-                uint32_t aRunMs,
-                double aSlowness);
+  void ObserveRunTime(const job& aJob,
+                      const task_key& aKey,
+                      uint32_t aRunMs,
+                      double aSlowness);
   void Enqueue(const job& aJob, const task_key& aKey);
   waiting_key WaitingKey(const job& aJob, const task_key& aKey) const;
   task& TaskOf(job& aJob, const task_key& aKey);
@@ -242,15 +244,16 @@
   void PlaceNew(const job& aJob, instant aNow);
   void PlaceKeys(const std::vector<task_key>& aOrder, instant aNow);
   // Returns what has no place now.
-  std::vector<task_key> TakeBackPartial(const std::vector<task_key>& aUnplaced);
+  std::vector<task_key> UnplacePartialJobs(
+    const std::vector<task_key>& aUnplaced);
   // Gives the places back that were chosen for aJob in this turn.
-  void TakeBack(job& aJob, std::vector<task_key>* aUnplaced);
+  void Unplace(job& aJob, std::vector<task_key>* aUnplaced);
   // Whether the room that it leaves empty meanwhile is small.
-  static bool MayWaitWhole(const job& aJob, const service_room& aRoom);
+  static bool MayWaitForAll(const job& aJob, const service_capacity& aRoom);
   // aRooms: by service, filled in as asked.
-  const service_room& RoomFor(
+  const service_capacity& CapacityFor(
     const job& aJob,
-    std::map<std::string_view, service_room>* aRooms) const;
+    std::map<std::string_view, service_capacity>* aRooms) const;
   // While room is short, refuses jobs that would be late and leaves those that
   // can still be in time waiting; returns the others.
   std::vector<task_key> ShedLate(const std::vector<task_key>& aLate,
@@ -262,14 +265,14 @@
   placement_verdict PlaceOne(job& aJob,
                              const task_key& aKey,
                              placement_request aRequest);
-  void SendOrders(instant aNow);
+  void SendDispatches(instant aNow);
   void RefreshFree(executor& aAt);
   // After a report: whether more is awaited, and who is in the subset now.
   void NoteHeard(peer_id aPeer, instant aNow);
   // After a change of mEvacuations.
   void ApplyEvacuations(instant aNow);
   // Jobs that nothing was started of and that nothing can run for now.
-  void RefuseUnservable(instant aNow);
+  void RefuseEvacuatedJobs(instant aNow);
   // Its backend server may be given tasks.
   bool IsUsable(const server_view& aView) const;
   // Subscribes to new members of a subset, and no longer to former ones.
@@ -278,9 +281,9 @@
   void AssignSubset(executor& aAt, const std::string& aService);
   // After a placing that left aUnplaced without a place.
   void ResizeSubsets(const std::vector<task_key>& aUnplaced, instant aNow);
-  void NoteOrdered(peer_id aPeer, const task_key& aKey, instant aNow);
-  void NoteEnded(peer_id aPeer, const task_key& aKey);
-  void Await(executor& aAt, instant aNow);
+  void AddOpenTask(peer_id aPeer, const task_key& aKey, instant aNow);
+  void RemoveOpenTask(peer_id aPeer, const task_key& aKey);
+  void ExpectReport(executor& aAt, instant aNow);
   task* CurrentAttempt(peer_id aPeer, const task_key& aKey, uint32_t aAttempt);
   void OnTooSlow(peer_id aPeer,
                  const wire::task_forecast& aForecast,
@@ -290,15 +293,15 @@
                                instant aNow);
   void OnEnd(peer_id aPeer, const wire::task_end& aEnd, instant aNow);
   void Finish(uint64_t aJob, const job_outcome& aOutcome, instant aNow);
-  void Withdraw(job& aJob);
-  void Settle(const task_key& aKey, instant aUntil);
-  void Release(const task_key& aKey);
+  void StopTasks(job& aJob);
+  void MarkOrphaned(const task_key& aKey, instant aUntil);
+  void RequeueOrphan(const task_key& aKey);
   // Whether a task of the job was ordered, ever.
-  static bool IsBegun(const job& aJob);
+  static bool IsDispatched(const job& aJob);
   bool MayHaveRun(const job& aJob) const;
   job_outcome ExpiryOf(const job& aJob, const std::string& aReason) const;
   void ExpireJobs(instant aNow);
-  void ExpireSettling(instant aNow);
+  void ExpireOrphans(instant aNow);
   void DropSilentExecutors(instant aNow);
   void LogOutcome(const job& aJob, const job_outcome& aOutcome, instant aNow);
 
@@ -313,24 +316,24 @@
   std::unordered_map<uint64_t, job> mJobs;
   std::unordered_map<caller_id, uint64_t> mCallerJobs;
   std::set<waiting_key> mWaiting;
-  std::set<std::pair<instant, task_key>> mSettling;
+  std::set<std::pair<instant, task_key>> mOrphans;
   std::set<std::pair<instant, uint64_t>> mDeadlines;
   std::map<peer_id, executor> mExecutors;
   std::set<peer_id> mBusy; // executors whose mTasks is not empty
   std::vector<server_view> mViews;
   std::map<std::string, executor_subset> mSubsets; // by service
-  evacuation_record mEvacuations;
+  evacuation_tracker mEvacuations;
   slowness_range mSlowness; // of mViews, as of the last placing
   instant mNextSilenceCheck{};
-  bool mRoomChanged = false;
-  instant mPlacedAt{};          // when all that waits was last tried
-  std::set<uint64_t> mHopeless; // jobs to end after this turn's placement
+  bool mCapacityChanged = false;
+  instant mPlacedAt{};            // when all that waits was last tried
+  std::set<uint64_t> mInfeasible; // jobs to end after this turn's placement
   // Orders of this turn by executor, job, step and estimate.
   std::map<std::tuple<peer_id, uint64_t, uint32_t, uint32_t>,
            std::vector<uint32_t>>
-    mOrders;
+    mPendingDispatches;
   coordinator_counters mCounters;
-  wait_model mWaits;
+  timeout_model mTimeoutModel;
 };
 
 } // namespace cactusmast
--- a/cactusmast/job_coordinator_evacuation.cc
+++ b/cactusmast/job_coordinator_evacuation.cc
@@ -16,7 +16,7 @@
 // False while backend servers may be there that have not reported yet.
 bool
 IsAllEvacuated(const std::vector<server_view>& aViews,
-               const evacuation_record& aEvacuations,
+               const evacuation_tracker& aEvacuations,
                const std::string& aService)
 {
   bool any = false;
@@ -42,10 +42,10 @@
 }
 
 void
-job_coordinator::OnEvacuations(const std::optional<evacuation_news>& aSaid,
+job_coordinator::OnEvacuations(const std::optional<evacuation_update>& aSaid,
                                instant aNow)
 {
-  if (aSaid && mEvacuations.Offer(*aSaid)) {
+  if (aSaid && mEvacuations.Update(*aSaid)) {
     ApplyEvacuations(aNow);
   }
 }
@@ -68,14 +68,14 @@
   // Sending may close a connection, and its executor is gone then.
   for (peer_id peer : peers) {
     if (mExecutors.count(peer) > 0) {
-      mLinks.TellEvacuations(peer);
+      mLinks.SendEvacuations(peer);
     }
   }
   for (auto& [service, subset] : mSubsets) {
     ApplyChange(subset.Update(), aNow);
   }
-  mRoomChanged = true;
-  RefuseUnservable(aNow);
+  mCapacityChanged = true;
+  RefuseEvacuatedJobs(aNow);
 }
 
 bool
@@ -88,7 +88,7 @@
   mCounters.mRefused++;
   mEvents.Emit(
     event_code::JobRefused,
-    { { "job", JobText(aRequest.mJob) },
+    { { "job", FormatJobId(aRequest.mJob) },
       { "reason", kAllEvacuated },
       { "data_centers", NamesOf(mEvacuations.State()) },
       { "version", std::to_string(mEvacuations.State().mVersion) } });
@@ -99,7 +99,7 @@
 }
 
 void
-job_coordinator::RefuseUnservable(instant aNow)
+job_coordinator::RefuseEvacuatedJobs(instant aNow)
 {
   std::vector<uint64_t> unservable;
   for (const auto& [id, open] : mJobs) {
--- a/cactusmast/job_coordinator_executors.cc
+++ b/cactusmast/job_coordinator_executors.cc
@@ -33,14 +33,14 @@
   for (const server_view& view : mViews) {
     if (view.mName == aWho.mName) {
       peer_id former = view.mPeer;
-      mLinks.Drop(former);
+      mLinks.Close(former);
       OnExecutorDown(former, aNow);
       break;
     }
   }
   executor& added = mExecutors[aPeer];
   added.mView = mViews.size();
-  added.mHeardAt = aNow;
+  added.mLastHeard = aNow;
   server_view view;
   view.mPeer = aPeer;
   view.mName = aWho.mName;
@@ -72,7 +72,7 @@
     ApplyChange(subset->Update(), aNow);
   }
   for (const task_key& key : unsure) {
-    Settle(key, aNow + kSettleTime);
+    MarkOrphaned(key, aNow + kMaxOrphanLifetime);
   }
   if (!unsure.empty()) {
     mEvents.Emit(event_code::WorkerLost,
@@ -82,27 +82,27 @@
 }
 
 void
-job_coordinator::Settle(const task_key& aKey, instant aUntil)
+job_coordinator::MarkOrphaned(const task_key& aKey, instant aUntil)
 {
   auto found = mJobs.find(aKey.mJob);
   if (found == mJobs.end()) {
     return;
   }
   // Nobody can say any more whether it was started.
-  found->second.mRan = true;
+  found->second.mAnyStarted = true;
   task& one = TaskOf(found->second, aKey);
-  one.mState = task_state::Settling;
-  one.mAt = 0;
-  one.mSettledAt = aUntil;
+  one.mState = task_state::Orphaned;
+  one.mExecutor = 0;
+  one.mOrphanedUntil = aUntil;
   mCounters.mLost++;
-  mSettling.insert({ aUntil, aKey });
+  mOrphans.insert({ aUntil, aKey });
 }
 
 void
 job_coordinator::RefreshFree(executor& aAt)
 {
-  task_size free = aAt.mReportedFree;
-  task_size unreported;
+  resources free = aAt.mReportedFree;
+  resources unreported;
   for (const auto& [offer, size] : aAt.mUnreported) {
     unreported += size;
   }
@@ -121,7 +121,7 @@
     return;
   }
   executor& at = found->second;
-  at.mHeardAt = aNow;
+  at.mLastHeard = aNow;
   server_view& view = mViews[at.mView];
   auto state = server_state(
     std::min<uint8_t>(aSaid.state, uint8_t(server_state::Count) - 1));
@@ -140,7 +140,7 @@
   view.mQueuedCpuMillis = aSaid.queued_cpu_millis;
   view.mSlowness = aSaid.slowness_permille / 1000.0;
   view.mMeanRunMs = aSaid.mean_run_ms;
-  view.mRoomInMs = aSaid.room_in_ms;
+  view.mStartDelayMs = aSaid.room_in_ms;
   view.mLabels = aSaid.labels;
   view.mReportedAt = aNow;
   at.mReportedFree = { aSaid.free_cpu_millis,
@@ -149,7 +149,7 @@
   at.mUnreported.erase(at.mUnreported.begin(),
                        at.mUnreported.upper_bound(aSaid.last_offer));
   RefreshFree(at);
-  mRoomChanged = true;
+  mCapacityChanged = true;
   for (const wire::task_end& end : aSaid.ends) {
     OnEnd(aPeer, end, aNow);
   }
@@ -170,7 +170,7 @@
   }
   executor& at = found->second;
   if (at.mTasks.empty()) {
-    at.mAwaitedSince = instant(0);
+    at.mReportDueSince = instant(0);
   }
   server_view& view = mViews[at.mView];
   at.mSubset->SetUsable(aPeer, IsUsable(view));
@@ -194,7 +194,7 @@
     return nullptr;
   }
   task& one = TaskOf(found->second, aKey);
-  bool current = one.mState == task_state::Placed && one.mAt == aPeer &&
+  bool current = one.mState == task_state::Placed && one.mExecutor == aPeer &&
                  one.mAttempt == aAttempt;
   return current ? &one : nullptr;
 }
@@ -215,26 +215,26 @@
   }
   job& owner = mJobs.at(key.mJob);
   task& one = *current;
-  one.mMeasuredMs =
+  one.mProgressEstimateMs =
     uint32_t(aForecast.total_ms() / mViews[at->second.mView].mSlowness);
   placement_request request = RequestFor(owner, key, aNow);
   request.mAvoid = aPeer;
   placement_decision decision = ChooseServer(mViews, request, mRandom);
   bool better = mMechanisms.Has(mechanism::SlowTaskMoves) &&
                 decision.mVerdict == placement_verdict::Place &&
-                decision.mChoice.mForecast.mMissRisk < kWorthMovingRisk;
+                decision.mChoice.mForecast.mMissRisk < kMaxMoveRisk;
   mEvents.Emit(
     event_code::TaskTooSlow,
-    { { "job", JobText(key.mJob) },
+    { { "job", FormatJobId(key.mJob) },
       { "index", std::to_string(key.mIndex) },
       { "server", mViews[at->second.mView].mName },
       { "total_ms", std::to_string(aForecast.total_ms()) },
       { "left_ms", std::to_string(int(MsBetween(aNow, owner.mDeadline))) },
-      { "declared_ms", std::to_string(request.mStep->mEstimateMs) },
+      { "declared_ms", std::to_string(request.mStep->mDeclaredMs) },
       { "moves", better ? "yes" : "no" } });
-  bool hopeless =
-    decision.mVerdict == placement_verdict::Hopeless &&
-    aForecast.total_ms() > kSurelyLate * MsBetween(aNow, owner.mDeadline);
+  bool hopeless = decision.mVerdict == placement_verdict::Infeasible &&
+                  aForecast.total_ms() >
+                    kCertainMissFactor * MsBetween(aNow, owner.mDeadline);
   if (hopeless) {
     Finish(key.mJob,
            { job_ending::Expired, "cannot end before its deadline", {} },
@@ -255,7 +255,7 @@
 job_coordinator::OnEnd(peer_id aPeer, const wire::task_end& aEnd, instant aNow)
 {
   task_key key = KeyOf(aEnd);
-  NoteEnded(aPeer, key);
+  RemoveOpenTask(aPeer, key);
   auto at = mExecutors.find(aPeer);
   task* current = CurrentAttempt(aPeer, key, aEnd.attempt());
   if (current == nullptr) {
@@ -268,7 +268,7 @@
     one.mState = task_state::Done;
     if (at != mExecutors.end()) {
       double slowness = mViews[at->second.mView].mSlowness;
-      LearnRun(owner, key, aEnd.run_ms(), slowness);
+      ObserveRunTime(owner, key, aEnd.run_ms(), slowness);
     }
     if (--owner.mLeft == 0) {
       Finish(key.mJob, { job_ending::Completed, "", {} }, aNow);
@@ -278,19 +278,19 @@
   std::string server =
     at == mExecutors.end() ? "" : mViews[at->second.mView].mName;
   mEvents.Emit(event_code::AttemptEnded,
-               { { "job", JobText(key.mJob) },
+               { { "job", FormatJobId(key.mJob) },
                  { "server", server },
                  { "index", std::to_string(key.mIndex) },
                  { "attempt", std::to_string(one.mAttempt) },
                  { "outcome", std::string(Name(outcome)) },
                  { "run_ms", std::to_string(aEnd.run_ms()) } });
   one.mState = task_state::Waiting;
-  one.mAt = 0;
+  one.mExecutor = 0;
   if (NeverStarted(outcome)) {
     mCounters.mBounced++;
   } else {
     one.mAvoid = aPeer;
-    owner.mRan = true;
+    owner.mAnyStarted = true;
   }
   if (outcome == attempt_outcome::Failed &&
       ++one.mFailures >= std::max<uint32_t>(1, owner.mRoute->mMaxAttempts)) {
@@ -303,54 +303,54 @@
 }
 
 void
-job_coordinator::LearnRun(const job& aJob,
-                          const task_key& aKey,
-                          uint32_t aRunMs,
-                          double aSlowness)
+job_coordinator::ObserveRunTime(const job& aJob,
+                                const task_key& aKey,
+                                uint32_t aRunMs,
+                                double aSlowness)
 {
-  uint32_t declaredMs = aJob.mSubmission.mSteps[aKey.mStep].mEstimateMs;
-  if (aJob.mWaitMs <= 0 || declaredMs == 0 || aSlowness <= 0) {
+  uint32_t declaredMs = aJob.mSubmission.mSteps[aKey.mStep].mDeclaredMs;
+  if (aJob.mCallerTimeoutMs <= 0 || declaredMs == 0 || aSlowness <= 0) {
     return;
   }
-  mWaits.Learn(
-    aJob.mRoute->mName, declaredMs, aJob.mWaitMs, aRunMs / aSlowness);
+  mTimeoutModel.Observe(
+    aJob.mRoute->mName, declaredMs, aJob.mCallerTimeoutMs, aRunMs / aSlowness);
 }
 
 void
-job_coordinator::Release(const task_key& aKey)
+job_coordinator::RequeueOrphan(const task_key& aKey)
 {
   auto found = mJobs.find(aKey.mJob);
   if (found == mJobs.end()) {
     return;
   }
   task& one = TaskOf(found->second, aKey);
-  if (one.mState == task_state::Settling) {
+  if (one.mState == task_state::Orphaned) {
     one.mState = task_state::Waiting;
     Enqueue(found->second, aKey);
   }
 }
 
 void
-job_coordinator::ExpireSettling(instant aNow)
+job_coordinator::ExpireOrphans(instant aNow)
 {
-  while (!mSettling.empty() && mSettling.begin()->first <= aNow) {
-    task_key key = mSettling.begin()->second;
-    mSettling.erase(mSettling.begin());
-    Release(key);
+  while (!mOrphans.empty() && mOrphans.begin()->first <= aNow) {
+    task_key key = mOrphans.begin()->second;
+    mOrphans.erase(mOrphans.begin());
+    RequeueOrphan(key);
   }
 }
 
 void
-job_coordinator::NoteOrdered(peer_id aPeer, const task_key& aKey, instant aNow)
+job_coordinator::AddOpenTask(peer_id aPeer, const task_key& aKey, instant aNow)
 {
   executor& at = mExecutors.at(aPeer);
   at.mTasks.insert(aKey);
   mBusy.insert(aPeer);
-  Await(at, aNow);
+  ExpectReport(at, aNow);
 }
 
 void
-job_coordinator::NoteEnded(peer_id aPeer, const task_key& aKey)
+job_coordinator::RemoveOpenTask(peer_id aPeer, const task_key& aKey)
 {
   auto found = mExecutors.find(aPeer);
   if (found == mExecutors.end()) {
@@ -363,10 +363,10 @@
 }
 
 void
-job_coordinator::Await(executor& aAt, instant aNow)
+job_coordinator::ExpectReport(executor& aAt, instant aNow)
 {
-  if (aAt.mAwaitedSince.count() == 0) {
-    aAt.mAwaitedSince = aNow;
+  if (aAt.mReportDueSince.count() == 0) {
+    aAt.mReportDueSince = aNow;
   }
 }
 
@@ -379,7 +379,7 @@
   }
   bool limited = mMechanisms.Has(mechanism::ExecutorSubset);
   auto [found, added] = mSubsets.try_emplace(
-    aService, mName, mDataCenter, limited ? kLeastSubset : kWholeFleet);
+    aService, mName, mDataCenter, limited ? kMinSubsetSize : kUnlimitedSubset);
   aAt.mSubset = &found->second;
   aAt.mSubset->Add(view.mPeer, view.mName, view.mDataCenter);
 }
@@ -391,7 +391,7 @@
   for (peer_id peer : aChange.mJoined) {
     auto found = mExecutors.find(peer);
     if (found != mExecutors.end()) {
-      Await(found->second, aNow);
+      ExpectReport(found->second, aNow);
       mLinks.Subscribe(peer, true);
     }
   }
@@ -416,9 +416,9 @@
     }
   }
   for (auto& [service, subset] : mSubsets) {
-    double freeShare = RoomOf(mViews, service).FreeShare();
+    double freeShare = CapacityOf(mViews, service).FreeShare();
     bool isShort = shortOf.count(service) > 0;
-    if (!subset.NoteRoom(freeShare, isShort, aNow)) {
+    if (!subset.AdjustSize(freeShare, isShort, aNow)) {
       continue;
     }
     mEvents.Emit(event_code::SubsetResized,
@@ -439,16 +439,16 @@
   mNextSilenceCheck = aNow + kSilenceCheckInterval;
   std::vector<peer_id> silent;
   for (const auto& [peer, at] : mExecutors) {
-    bool awaited = at.mAwaitedSince.count() != 0;
-    instant since = std::max(at.mHeardAt, at.mAwaitedSince);
-    if (awaited && aNow - since > kExecutorSilence) {
+    bool awaited = at.mReportDueSince.count() != 0;
+    instant since = std::max(at.mLastHeard, at.mReportDueSince);
+    if (awaited && aNow - since > kExecutorTimeout) {
       silent.push_back(peer);
     }
   }
   for (peer_id peer : silent) {
     mEvents.Emit(event_code::PeerSilent,
                  { { "peer", mViews[mExecutors[peer].mView].mName } });
-    mLinks.Drop(peer);
+    mLinks.Close(peer);
     OnExecutorDown(peer, aNow);
   }
 }
--- a/cactusmast/job_coordinator_limits.h
+++ b/cactusmast/job_coordinator_limits.h
@@ -27,23 +27,23 @@
 // objective: no task is started that could only end later.
 constexpr int kUsefulObjectives = 3;
 // Run times are forecast within these, in ms, whatever callers say.
-constexpr double kLeastRunMs = 1;
-constexpr double kLongestRunMs = 24 * 3600 * 1000.0;
+constexpr double kMinRunMs = 1;
+constexpr double kMaxRunMs = 24 * 3600 * 1000.0;
 // A task that runs too slowly is started anew elsewhere if it would miss its
 // deadline there with less than this chance.
-constexpr double kWorthMovingRisk = 0.4;
+constexpr double kMaxMoveRisk = 0.4;
 // Progress is known to about a tenth.
-constexpr double kSurelyLate = 1.2;
+constexpr double kCertainMissFactor = 1.2;
 // With less than this share of all room free, a job that can only be late any
 // more and of which nothing was started is refused: it would take the room that
 // the next ones need to be in time, so that in the end all are late.
-constexpr double kScarceRoom = 0.1;
+constexpr double kScarceFreeShare = 0.1;
 // A job waits for room for all its tasks only if less than this share of all
 // room is empty for that: of little room, single places are worth more.
-constexpr double kMostEmptyRoom = 0.04;
+constexpr double kMaxIdleShare = 0.04;
 // Steps that find no place are tried this many at a time: each costs a look at
 // all backend servers, and what is tried first is most urgent.
-constexpr uint32_t kMaxStuckSteps = 12;
+constexpr uint32_t kMaxUnplacedSteps = 12;
 // Between looks for executors that have fallen silent, which go through all of
 // them: a small entry takes hundreds of turns a second.
 constexpr duration kSilenceCheckInterval = milliseconds(25);
--- a/cactusmast/job_coordinator_placement.cc
+++ b/cactusmast/job_coordinator_placement.cc
@@ -22,7 +22,7 @@
 job_coordinator::Enqueue(const job& aJob, const task_key& aKey)
 {
   mWaiting.insert(WaitingKey(aJob, aKey));
-  mRoomChanged = true;
+  mCapacityChanged = true;
 }
 
 job_coordinator::task&
@@ -34,7 +34,7 @@
 void
 job_coordinator::PlaceWaiting(instant aNow)
 {
-  mRoomChanged = false;
+  mCapacityChanged = false;
   mPlacedAt = aNow;
   std::vector<task_key> order;
   for (const waiting_key& key : mWaiting) {
@@ -68,13 +68,13 @@
   bool timelyFirst = mMechanisms.Has(mechanism::TimelyFirst);
   std::vector<task_key> late =
     timelyFirst ? PlaceAll(aOrder, placement_aim::InObjective, aNow) : aOrder;
-  late = TakeBackPartial(late);
+  late = UnplacePartialJobs(late);
   std::vector<task_key> unplaced =
     PlaceAll(ShedLate(late, aNow), placement_aim::BeforeDeadline, aNow);
-  SendOrders(aNow);
+  SendDispatches(aNow);
   ResizeSubsets(unplaced, aNow);
-  std::set<uint64_t> hopeless = std::move(mHopeless);
-  mHopeless.clear();
+  std::set<uint64_t> hopeless = std::move(mInfeasible);
+  mInfeasible.clear();
   for (uint64_t id : hopeless) {
     auto found = mJobs.find(id); // it may have been shed in this same turn
     if (found != mJobs.end()) {
@@ -86,17 +86,17 @@
 // While room is scarce, a job of which only a part can start now would hold its
 // room and be late all the same. Its tasks are given back to those behind it.
 std::vector<task_key>
-job_coordinator::TakeBackPartial(const std::vector<task_key>& aUnplaced)
+job_coordinator::UnplacePartialJobs(const std::vector<task_key>& aUnplaced)
 {
   std::vector<task_key> unplaced = aUnplaced;
   std::set<uint64_t> seen;
-  std::map<std::string_view, service_room> rooms;
+  std::map<std::string_view, service_capacity> rooms;
   for (const task_key& key : aUnplaced) {
     job& owner = mJobs.at(key.mJob);
     bool considered = !seen.insert(key.mJob).second;
-    bool partial = !considered && !IsBegun(owner) && MayHaveRun(owner);
-    if (partial && MayWaitWhole(owner, RoomFor(owner, &rooms))) {
-      TakeBack(owner, &unplaced);
+    bool partial = !considered && !IsDispatched(owner) && MayHaveRun(owner);
+    if (partial && MayWaitForAll(owner, CapacityFor(owner, &rooms))) {
+      Unplace(owner, &unplaced);
     }
   }
   return unplaced;
@@ -105,52 +105,53 @@
 // Until a job finds room for all its tasks, half of what they need is empty on
 // the average.
 bool
-job_coordinator::MayWaitWhole(const job& aJob, const service_room& aRoom)
+job_coordinator::MayWaitForAll(const job& aJob, const service_capacity& aRoom)
 {
   double emptyMillis = 0;
   for (const job_step& step : aJob.mSubmission.mSteps) {
     double others = std::max<double>(0, double(step.mCount) - 1);
     emptyMillis += others / 2 * double(step.mSize.mCpuMillis);
   }
-  return aRoom.FreeShare() < kScarceRoom &&
-         emptyMillis < kMostEmptyRoom * double(aRoom.mAllMillis);
+  return aRoom.FreeShare() < kScarceFreeShare &&
+         emptyMillis < kMaxIdleShare * double(aRoom.mAllMillis);
 }
 
 void
-job_coordinator::TakeBack(job& aJob, std::vector<task_key>* aUnplaced)
+job_coordinator::Unplace(job& aJob, std::vector<task_key>* aUnplaced)
 {
-  for (auto at = mOrders.begin(); at != mOrders.end();) {
+  for (auto at = mPendingDispatches.begin(); at != mPendingDispatches.end();) {
     auto [peer, id, stepNumber, estimateMs] = at->first;
     if (id != aJob.mId) {
       ++at;
       continue;
     }
-    const task_size& size = aJob.mSubmission.mSteps[stepNumber].mSize;
+    const resources& size = aJob.mSubmission.mSteps[stepNumber].mSize;
     server_view& view = mViews[mExecutors.at(peer).mView];
     for (uint32_t index : at->second) {
       view.mFree += size;
       view.mUnreportedCpuMillis -= size.mCpuMillis;
       task& one = aJob.mTasks[stepNumber][index];
       one.mState = task_state::Waiting;
-      one.mAt = 0;
+      one.mExecutor = 0;
       one.mAttempt--;
       mCounters.mAttempts--;
       task_key key{ id, stepNumber, index };
       mWaiting.insert(WaitingKey(aJob, key));
       aUnplaced->push_back(key);
     }
-    at = mOrders.erase(at);
+    at = mPendingDispatches.erase(at);
   }
 }
 
-const service_room&
-job_coordinator::RoomFor(const job& aJob,
-                         std::map<std::string_view, service_room>* aRooms) const
+const service_capacity&
+job_coordinator::CapacityFor(
+  const job& aJob,
+  std::map<std::string_view, service_capacity>* aRooms) const
 {
   const std::string& service = aJob.mRoute->mService;
   auto found = aRooms->find(service);
   if (found == aRooms->end()) {
-    found = aRooms->emplace(service, RoomOf(mViews, service)).first;
+    found = aRooms->emplace(service, CapacityOf(mViews, service)).first;
   }
   return found->second;
 }
@@ -163,11 +164,11 @@
   }
   std::vector<task_key> kept;
   std::set<uint64_t> shed;
-  std::map<std::string_view, service_room> rooms;
+  std::map<std::string_view, service_capacity> rooms;
   for (const task_key& key : aLate) {
     const job& owner = mJobs.at(key.mJob);
-    const service_room& room = RoomFor(owner, &rooms);
-    if (MayHaveRun(owner) || room.FreeShare() >= kScarceRoom) {
+    const service_capacity& room = CapacityFor(owner, &rooms);
+    if (MayHaveRun(owner) || room.FreeShare() >= kScarceFreeShare) {
       kept.push_back(key);
       continue;
     }
@@ -177,7 +178,7 @@
     bool late = std::get<0>(WaitingKey(owner, key)) <= aNow;
     if (late) {
       shed.insert(key.mJob);
-    } else if (!MayWaitWhole(owner, room)) {
+    } else if (!MayWaitForAll(owner, room)) {
       kept.push_back(key);
     }
   }
@@ -200,7 +201,7 @@
   std::vector<task_key> left;
   uint32_t stuckSteps = 0;
   uint32_t maxStuckSteps =
-    mMechanisms.Has(mechanism::StuckLimit) ? kMaxStuckSteps : UINT32_MAX;
+    mMechanisms.Has(mechanism::StuckLimit) ? kMaxUnplacedSteps : UINT32_MAX;
   for (const task_key& key : aOrder) {
     bool alike = std::make_pair(key.mJob, key.mStep) == stuck;
     if (alike || stuckSteps >= maxStuckSteps) {
@@ -225,8 +226,8 @@
     left.push_back(key);
     stuck = { key.mJob, key.mStep };
     stuckSteps++;
-    if (verdict == placement_verdict::Hopeless) {
-      mHopeless.insert(key.mJob);
+    if (verdict == placement_verdict::Infeasible) {
+      mInfeasible.insert(key.mJob);
     }
   }
   return left;
@@ -238,10 +239,10 @@
   const task& one = aJob.mTasks[aKey.mStep][aKey.mIndex];
   placement_request request;
   request.mStep = &aJob.mSubmission.mSteps[aKey.mStep];
-  bool measured = one.mMeasuredMs > 0;
+  bool measured = one.mProgressEstimateMs > 0;
   request.mEstimateMs =
-    measured ? one.mMeasuredMs : ExpectedMs(aJob, *request.mStep);
-  request.mEstimateSigma = measured ? kMeasuredSigma : aJob.mRunSigma;
+    measured ? one.mProgressEstimateMs : ExpectedMs(aJob, *request.mStep);
+  request.mEstimateSigma = measured ? kProgressSigma : aJob.mRunSigma;
   request.mService = aJob.mRoute->mService;
   request.mDataCenter = mDataCenter;
   request.mAvoid = one.mAvoid;
@@ -249,10 +250,10 @@
     measured ? aJob.mDeadline : std::min(aJob.mDeadline, aJob.mUsefulUntil);
   request.mDeadlineMs = MsBetween(aNow, until);
   request.mObjectiveBaseMs =
-    aJob.mRoute->mObjectiveBaseMs - MsBetween(aJob.mSentAt, aNow);
+    aJob.mRoute->mObjectiveBaseMs - MsBetween(aJob.mFirstSentAt, aNow);
   request.mObjectiveStretch = aJob.mRoute->mObjectiveStretch;
   request.mMedianSlowness = mSlowness.mMedian;
-  request.mPricesScarcity = mMechanisms.Has(mechanism::ScarcityPrice);
+  request.mUseScarcityCost = mMechanisms.Has(mechanism::ScarcityPrice);
   return request;
 }
 
@@ -264,7 +265,7 @@
   task& one = TaskOf(aJob, aKey);
   const job_step& step = *aRequest.mStep;
   placement_decision decision = ChooseServer(mViews, aRequest, mRandom);
-  if (decision.mVerdict == placement_verdict::Nowhere && one.mAvoid != 0) {
+  if (decision.mVerdict == placement_verdict::NoCandidate && one.mAvoid != 0) {
     aRequest.mAvoid = 0;
     decision = ChooseServer(mViews, aRequest, mRandom);
   }
@@ -275,26 +276,26 @@
   view.mFree -= step.mSize;
   view.mUnreportedCpuMillis += step.mSize.mCpuMillis;
   mWaiting.erase(WaitingKey(aJob, aKey));
-  one.mState = task_state::Chosen;
-  one.mAt = view.mPeer;
+  one.mState = task_state::Reserved;
+  one.mExecutor = view.mPeer;
   one.mAttempt++;
   auto estimateMs = uint32_t(aRequest.mEstimateMs);
-  mOrders[{ view.mPeer, aKey.mJob, aKey.mStep, estimateMs }].push_back(
-    aKey.mIndex);
+  mPendingDispatches[{ view.mPeer, aKey.mJob, aKey.mStep, estimateMs }]
+    .push_back(aKey.mIndex);
   mCounters.mAttempts++;
   return placement_verdict::Place;
 }
 
 void
-job_coordinator::SendOrders(instant aNow)
+job_coordinator::SendDispatches(instant aNow)
 {
-  for (const auto& [place, indexes] : mOrders) {
+  for (const auto& [place, indexes] : mPendingDispatches) {
     auto [peer, id, stepNumber, estimateMs] = place;
     job& owner = mJobs.at(id);
     executor& at = mExecutors[peer];
     const job_step& step = owner.mSubmission.mSteps[stepNumber];
     wire::start_tasks_msg order;
-    order.offer = ++at.mLastOffer;
+    order.offer = ++at.mLastDispatchNumber;
     order.job = id;
     order.step = stepNumber;
     order.spec = owner.mSubmission.mSpec;
@@ -302,25 +303,25 @@
     order.memory_mb = uint32_t(step.mSize.mMemoryMb);
     order.gpus = uint32_t(step.mSize.mGpus);
     order.estimate_ms = estimateMs;
-    order.declared_ms = step.mEstimateMs;
+    order.declared_ms = step.mDeclaredMs;
     order.urgent_in_ms = int32_t(
       ToMs(std::get<0>(WaitingKey(owner, { id, stepNumber, 0 })) - aNow));
     order.start_within_ms = kStartWithinMs;
     order.evacuating = EncodeEvacuations(mEvacuations, aNow);
     order.stop_after_ms =
       uint32_t(std::max<int64_t>(0, ToMs(owner.mDeadline - aNow)));
-    task_size size;
+    resources size;
     for (uint32_t index : indexes) {
       owner.mTasks[stepNumber][index].mState = task_state::Placed;
-      NoteOrdered(peer, { id, stepNumber, index }, aNow);
+      AddOpenTask(peer, { id, stepNumber, index }, aNow);
       order.tasks.emplace_back(index, owner.mTasks[stepNumber][index].mAttempt);
       size += step.mSize;
     }
     at.mUnreported[order.offer] = size;
-    mCounters.mOrders++;
+    mCounters.mDispatches++;
     mEvents.Emit(
       event_code::TasksPlaced,
-      { { "job", JobText(id) },
+      { { "job", FormatJobId(id) },
         { "server", mViews[at.mView].mName },
         { "tasks", std::to_string(indexes.size()) },
         { "free_cpu_millis",
@@ -329,7 +330,7 @@
           std::to_string(ToMs(aNow - mViews[at.mView].mReportedAt)) } });
     mLinks.Start(peer, std::move(order));
   }
-  mOrders.clear();
+  mPendingDispatches.clear();
 }
 
 } // namespace cactusmast
--- a/cactusmast/job_table.cc
+++ b/cactusmast/job_table.cc
@@ -63,8 +63,8 @@
   row.mFingerprint = aJob.fingerprint;
   row.mState = job_state(aJob.state);
   row.mResults = aJob.tasks;
-  row.mTasks.resize(aJob.tasks.size(), { task_state::Settled, 0 });
-  row.mSettled = uint32_t(aJob.tasks.size());
+  row.mTasks.resize(aJob.tasks.size(), { task_state::Finished, 0 });
+  row.mFinishedTasks = uint32_t(aJob.tasks.size());
   row.mDecidedAt = aNow;
   row.mBytes = OutputBytes(row);
   mAnswerBytes += row.mBytes;
@@ -87,10 +87,10 @@
 }
 
 bool
-job_table::Settle(job_handle aHandle,
-                  wire::task_result_msg aResult,
-                  instant aNow,
-                  bool* aDecided)
+job_table::FinishTask(job_handle aHandle,
+                      wire::task_result_msg aResult,
+                      instant aNow,
+                      bool* aDecided)
 {
   *aDecided = false;
   auto found = mRows.find(aHandle);
@@ -100,13 +100,13 @@
   job_row& row = found->second;
   uint32_t index = aResult.ref.index();
   if (index >= row.mTasks.size() ||
-      row.mTasks[index].mState == task_state::Settled) {
+      row.mTasks[index].mState == task_state::Finished) {
     return false;
   }
-  row.mTasks[index].mState = task_state::Settled;
+  row.mTasks[index].mState = task_state::Finished;
   row.mResults[index] = std::move(aResult);
-  row.mSettled++;
-  if (row.mSettled == row.mTasks.size()) {
+  row.mFinishedTasks++;
+  if (row.mFinishedTasks == row.mTasks.size()) {
     Decide(aHandle, row, aNow);
     *aDecided = true;
   }
@@ -148,7 +148,7 @@
     row.mBytes = 0;
     row.mOutputsGone = true;
     std::vector<wire::task_result_msg>().swap(row.mResults);
-    std::vector<task_entry>().swap(row.mTasks);
+    std::vector<task_progress>().swap(row.mTasks);
   }
 }
 
--- a/cactusmast/job_table.h
+++ b/cactusmast/job_table.h
@@ -51,11 +51,11 @@
 {
   Queued,
   Dispatched, // sent to a worker, no end known
-  Settled,
+  Finished,
   Count
 };
 
-struct task_entry
+struct task_progress
 {
   task_state mState = task_state::Queued;
   uint8_t mAttempts = 0;
@@ -73,9 +73,9 @@
   instant mDecidedAt{};
   bool mCancelled = false;
   bool mOutputsGone = false;
-  std::vector<task_entry> mTasks;
+  std::vector<task_progress> mTasks;
   std::vector<wire::task_result_msg> mResults;
-  uint32_t mSettled = 0;
+  uint32_t mFinishedTasks = 0;
   uint32_t mNextIndex = 0;
   std::vector<uint32_t> mReturned; // indices to dispatch again
   std::vector<waiter> mWaiters;
@@ -109,10 +109,10 @@
 
   // Settles one task; false when it was settled before. The second result is
   // true when this decided the job.
-  bool Settle(job_handle aHandle,
-              wire::task_result_msg aResult,
-              instant aNow,
-              bool* aDecided);
+  bool FinishTask(job_handle aHandle,
+                  wire::task_result_msg aResult,
+                  instant aNow,
+                  bool* aDecided);
 
   // The next task to dispatch; false when none is queued.
   static bool TakeQueued(job_row& aRow, uint32_t* aIndex);
--- a/cactusmast/message.cc
+++ b/cactusmast/message.cc
@@ -79,7 +79,7 @@
   reply.text = aError.what();
   reply.step = aError.Step();
   reply.peer = aError.Peer();
-  reply.run = uint8_t(aError.Run());
+  reply.run = uint8_t(aError.RunState());
   reply.retry_after_ms = uint32_t(aError.RetryAfter().count());
   return reply;
 }
--- a/cactusmast/message.h
+++ b/cactusmast/message.h
@@ -58,20 +58,20 @@
 enum class task_reason : uint8_t
 {
   None,
-  StaleLease,     // the dispatcher's lease on the guard is not in force
-  NoSlot,         // all slots are busy
-  Withdrawn,      // no backend server is announced for the service
-  Tombstone,      // revoked earlier
-  Budget,         // the guard's record or result budget is spent
-  BackendError,   // the backend server answered with a failure
-  BackendLost,    // the connection to the backend server broke
-  TimedOut,       // the time limit passed
-  Cancelled,      // the caller cancelled
-  WorkerLost,     // the worker's process is gone with its records
-  ResultGone,     // it ran, but its result is no longer held
-  NeverSatisfied, // no known backend server can run it
-  RetriesSpent,   // refused too often
-  Shed,           // made room for a job of higher priority
+  StaleLease,       // the dispatcher's lease on the guard is not in force
+  NoSlot,           // all slots are busy
+  Withdrawn,        // no backend server is announced for the service
+  Tombstone,        // revoked earlier
+  Budget,           // the guard's record or result budget is spent
+  BackendError,     // the backend server answered with a failure
+  BackendLost,      // the connection to the backend server broke
+  TimedOut,         // the time limit passed
+  Cancelled,        // the caller cancelled
+  WorkerLost,       // the worker's process is gone with its records
+  ResultGone,       // it ran, but its result is no longer held
+  Unsatisfiable,    // no known backend server can run it
+  RetriesExhausted, // refused too often
+  Shed,             // made room for a job of higher priority
   Count
 };
 
--- a/cactusmast/placement.cc
+++ b/cactusmast/placement.cc
@@ -41,7 +41,7 @@
 // A task that is late more probably than this yields to those that are not.
 constexpr double kTooLateRisk = 0.6;
 // With less chance than this a task is not started any more.
-constexpr double kHopelessRisk = 0.98;
+constexpr double kInfeasibleRisk = 0.98;
 // Where there is no room, some time passes until there is.
 constexpr double kLeastWaitMs = 3;
 // Before a backend server has ended a task.
@@ -122,7 +122,7 @@
 }
 
 double
-ExpectedWaitMs(const server_view& aView, const task_size& aSize)
+ExpectedWaitMs(const server_view& aView, const resources& aSize)
 {
   if (aSize.FitsIn(aView.mFree) && aView.mQueuedCpuMillis == 0) {
     return 0;
@@ -133,7 +133,7 @@
     aView.mMeanRunMs > 0 ? aView.mMeanRunMs : kUnknownMeanRunMs;
   double ahead = double(aView.mUnreportedCpuMillis) /
                  double(std::max<int64_t>(aView.mCapacity.mCpuMillis, 1));
-  return std::max(kLeastWaitMs, aView.mRoomInMs - aView.mAgeMs) +
+  return std::max(kLeastWaitMs, aView.mStartDelayMs - aView.mAgeMs) +
          ahead * meanRunMs;
 }
 
@@ -145,7 +145,7 @@
   made.mRunMs = estimateMs * aView.mSlowness;
   const std::string& rack = aRequest.mStep->mDataRack;
   if (!rack.empty() && !HasLabel(aView, rack)) {
-    made.mRunMs *= aRequest.mFarFactor;
+    made.mRunMs *= aRequest.mRemoteDataFactor;
   }
   made.mWaitMs = ExpectedWaitMs(aView, aRequest.mStep->mSize);
   double leftMs = aRequest.mDeadlineMs - made.mWaitMs - kOverheadMs;
@@ -179,7 +179,7 @@
     }
     placement_forecast made = Forecast(view, aRequest);
     leastRisk = std::min(leastRisk, made.mMissRisk);
-    if (aRequest.mPricesScarcity) {
+    if (aRequest.mUseScarcityCost) {
       made.mCost += ScarcityMs(view, aRequest.mMedianSlowness);
     }
     if (view.mDataCenter != aRequest.mDataCenter) {
@@ -196,10 +196,10 @@
       (soon ? now : later).mChoice = { i, made };
     }
   }
-  if (leastRisk > kHopelessRisk &&
+  if (leastRisk > kInfeasibleRisk &&
       (nowCost < std::numeric_limits<double>::infinity() ||
        laterCost < std::numeric_limits<double>::infinity())) {
-    now.mVerdict = placement_verdict::Hopeless;
+    now.mVerdict = placement_verdict::Infeasible;
     return now;
   }
   if (laterCost + kWorthWaitingMs < nowCost) {
@@ -216,10 +216,10 @@
   return now;
 }
 
-service_room
-RoomOf(const std::vector<server_view>& aViews, const std::string& aService)
+service_capacity
+CapacityOf(const std::vector<server_view>& aViews, const std::string& aService)
 {
-  service_room room;
+  service_capacity room;
   for (const server_view& view : aViews) {
     if (IsUsable(view) && view.mService == aService) {
       room.mFreeMillis += std::max<int64_t>(0, view.mFree.mCpuMillis);
@@ -230,9 +230,9 @@
 }
 
 bool
-CanNeverRun(const std::vector<server_view>& aViews,
-            const std::string& aService,
-            const job_step& aStep)
+IsUnsatisfiable(const std::vector<server_view>& aViews,
+                const std::string& aService,
+                const job_step& aStep)
 {
   bool anyKnown = false;
   for (const server_view& view : aViews) {
--- a/cactusmast/placement.h
+++ b/cactusmast/placement.h
@@ -34,13 +34,13 @@
   server_state mState = server_state::Absent;
   // False where the entry's belief about room is too old to place on.
   bool mPlaceable = true;
-  task_size mCapacity;
-  task_size mFree;
+  resources mCapacity;
+  resources mFree;
   int64_t mQueuedCpuMillis = 0;
-  double mSlowness = 1.0; // run time over estimate
-  double mMeanRunMs = 0;  // of tasks that ended there lately
-  double mRoomInMs = 0;   // from the report until another task would start
-  double mAgeMs = 0;      // of the report
+  double mSlowness = 1.0;   // run time over estimate
+  double mMeanRunMs = 0;    // of tasks that ended there lately
+  double mStartDelayMs = 0; // from the report until another task would start
+  double mAgeMs = 0;        // of the report
   // Ordered by this entry and not accounted for by the report.
   int64_t mUnreportedCpuMillis = 0;
   std::vector<std::string> mLabels;
@@ -57,7 +57,7 @@
 // Of estimates that callers declare.
 constexpr double kDeclaredSigma = 0.35;
 // Of those that a task's own progress gave.
-constexpr double kMeasuredSigma = 0.1;
+constexpr double kProgressSigma = 0.1;
 
 struct placement_request
 {
@@ -67,10 +67,10 @@
   // Deviation of the logarithm of the factor by which the estimate is off.
   double mEstimateSigma = 0;
   std::string mService;
-  std::string mDataCenter; // of the entry
-  peer_id mAvoid = 0;      // where the last attempt failed; 0: none
-  double mFarFactor = 1.0; // run time away from the data over near it
-  double mDeadlineMs = 0;  // from now
+  std::string mDataCenter;        // of the entry
+  peer_id mAvoid = 0;             // where the last attempt failed; 0: none
+  double mRemoteDataFactor = 1.0; // run time away from the data over near it
+  double mDeadlineMs = 0;         // from now
   // The objective, from now, is mObjectiveBaseMs plus the run time on a
   // backend server of ordinary speed times mObjectiveStretch.
   double mObjectiveBaseMs = 0;
@@ -78,7 +78,7 @@
   // By SlownessOf: the same for many requests, so it is not worked out for
   // each.
   double mMedianSlowness = 1;
-  bool mPricesScarcity = true; // of the fast backend servers' last room
+  bool mUseScarcityCost = true; // of the fast backend servers' last room
 };
 
 // Expected outcome of one placement.
@@ -100,22 +100,22 @@
 enum class placement_verdict : uint8_t
 {
   Place,
-  Wait,     // a busy backend server is the better choice, or none meets
-            // the aim
-  Hopeless, // no backend server can end it before the deadline
-  Nowhere,  // none is usable at present
+  Wait,        // a busy backend server is the better choice, or none meets
+               // the aim
+  Infeasible,  // no backend server can end it before the deadline
+  NoCandidate, // none is usable at present
   Count
 };
 
 struct placement_decision
 {
-  placement_verdict mVerdict = placement_verdict::Nowhere;
+  placement_verdict mVerdict = placement_verdict::NoCandidate;
   placement_choice mChoice; // with Place and Wait
 };
 
 // Time until aSize fits beside what is there and queued.
 double
-ExpectedWaitMs(const server_view& aView, const task_size& aSize);
+ExpectedWaitMs(const server_view& aView, const resources& aSize);
 
 placement_forecast
 Forecast(const server_view& aView, const placement_request& aRequest);
@@ -142,7 +142,7 @@
 
 // Processors of a service's ready backend servers that can be placed on, in
 // thousandths of a core.
-struct service_room
+struct service_capacity
 {
   int64_t mFreeMillis = 0;
   int64_t mAllMillis = 0;
@@ -154,16 +154,16 @@
   }
 };
 
-service_room
-RoomOf(const std::vector<server_view>& aViews, const std::string& aService);
+service_capacity
+CapacityOf(const std::vector<server_view>& aViews, const std::string& aService);
 
 // Whether all backend servers of the service have reported, and none of them
 // could hold aStep. What is not known yet counts as able to hold it: an entry
 // that has just started must not give a job up for want of reports.
 bool
-CanNeverRun(const std::vector<server_view>& aViews,
-            const std::string& aService,
-            const job_step& aStep);
+IsUnsatisfiable(const std::vector<server_view>& aViews,
+                const std::string& aService,
+                const job_step& aStep);
 
 } // namespace cactusmast
 
--- a/cactusmast/route_config.cc
+++ b/cactusmast/route_config.cc
@@ -35,7 +35,7 @@
 }
 
 result<bool>
-config_holder::Offer(const std::string& aText)
+config_holder::Update(const std::string& aText)
 {
   if (aText == mText) {
     return false;
--- a/cactusmast/route_config.h
+++ b/cactusmast/route_config.h
@@ -79,7 +79,7 @@
 
   // Takes aText over when it is newer than what is in force. The result says
   // whether it was; documents that cannot be decoded are errors.
-  result<bool> Offer(const std::string& aText);
+  result<bool> Update(const std::string& aText);
 
   // Null before the first document. Requests keep the table that they were
   // routed by.
--- a/cactusmast/server_record.cc
+++ b/cactusmast/server_record.cc
@@ -9,7 +9,7 @@
   wire::server_record_msg record;
   record.id = aServer.mId;
   record.service = aServer.mService;
-  record.born_ms = aServer.mBornMs;
+  record.born_ms = aServer.mStartTimeMs;
   record.cpu_millis = aServer.mCapacity.mCpuMillis;
   record.memory_mb = aServer.mCapacity.mMemoryMb;
   record.gpus = aServer.mCapacity.mGpus;
@@ -31,7 +31,7 @@
     server_announcement made;
     made.mId = record->id;
     made.mService = record->service;
-    made.mBornMs = record->born_ms;
+    made.mStartTimeMs = record->born_ms;
     made.mCapacity = { record->cpu_millis, record->memory_mb, record->gpus };
     made.mLabels = record->labels;
     return made;
--- a/cactusmast/server_record.h
+++ b/cactusmast/server_record.h
@@ -9,7 +9,7 @@
 //
 // The record is a hint: the executor uses it only for the very life of the
 // backend server that it names, and only for a while unless an announcement
-// follows (task_executor::OnRecalled).
+// follows (task_executor::OnServerRestored).
 
 #ifndef CACTUSMAST_SERVER_RECORD_H_
 #define CACTUSMAST_SERVER_RECORD_H_
--- a/cactusmast/settings.cc
+++ b/cactusmast/settings.cc
@@ -5,7 +5,7 @@
 
 namespace cactusmast {
 
-using detail::Guarded;
+using detail::CatchErrors;
 using detail::Load;
 using detail::ReadSettingsFile;
 using detail::settings_reader;
@@ -70,7 +70,7 @@
 result<std::string>
 CheckSettings(const std::string& aText, const std::string& aFile)
 {
-  return Guarded<std::string>(aFile, [&]() -> std::string {
+  return CatchErrors<std::string>(aFile, [&]() -> std::string {
     YAML::Node node = Load(aText, aFile);
     std::string role =
       node.IsMap() && node["role"] ? node["role"].as<std::string>() : "";
--- a/cactusmast/settings_reader.h
+++ b/cactusmast/settings_reader.h
@@ -209,7 +209,7 @@
 
 template<typename T>
 result<T>
-Guarded(const std::string& aFile, const std::function<T()>& aRead)
+CatchErrors(const std::string& aFile, const std::function<T()>& aRead)
 {
   try {
     return aRead();
@@ -227,7 +227,7 @@
 result<T>
 ReadSettingsFile(const std::string& aText, const std::string& aFile, Read aRead)
 {
-  return Guarded<T>(aFile, [&] {
+  return CatchErrors<T>(aFile, [&] {
     settings_reader reader(Load(aText, aFile), aFile);
     T made;
     aRead(reader, &made);
--- a/cactusmast/shard_owner.cc
+++ b/cactusmast/shard_owner.cc
@@ -272,14 +272,14 @@
                { { "worker", aRow.mIdentity.mName },
                  { "incarnation", std::to_string(aRow.mIdentity.mIncarnation) },
                  { "epoch", std::to_string(mEpoch) } });
-  AskAboutFlights(aRow);
+  QueryInFlight(aRow);
 }
 
 // After a broken link nobody knows which dispatches arrived. The guard tells,
 // and revokes what it has not seen, so that what is sent again cannot have
 // started and cannot start later from a late copy.
 void
-shard_owner::AskAboutFlights(worker_row& aRow)
+shard_owner::QueryInFlight(worker_row& aRow)
 {
   if (!aRow.mRestored.empty()) {
     wire::fetch_msg fetch;
@@ -289,12 +289,12 @@
     mCounters.mFetchMessages++;
     mNetwork.Send(aRow.mPeer, MakeMessage(std::move(fetch)));
   }
-  if (aRow.mFlights.empty() || !mSafeguards.mSettleBeforeRetry) {
+  if (aRow.mInFlight.empty() || !mSafeguards.mSettleBeforeRetry) {
     return;
   }
   wire::settle_msg ask;
   ask.epoch = mEpoch;
-  for (const auto& [ref, flown] : aRow.mFlights) {
+  for (const auto& [ref, flown] : aRow.mInFlight) {
     ask.refs.push_back(ref);
   }
   mCounters.mSettleMessages++;
@@ -312,12 +312,12 @@
   }
   row->mLastHeard = aNow;
   for (const task_ref& ref : aReply.not_started) {
-    auto found = row->mFlights.find(ref);
-    if (found == row->mFlights.end()) {
+    auto found = row->mInFlight.find(ref);
+    if (found == row->mInFlight.end()) {
       continue;
     }
-    flight back = found->second;
-    row->mFlights.erase(found);
+    in_flight_task back = found->second;
+    row->mInFlight.erase(found);
     mDispatcher.NotStarted(
       row->mHandle, back.mLane, back.mTeam, back.mExpected);
     Requeue(back, ref.index(), false, aNow);
@@ -330,11 +330,11 @@
   mEvents.Emit(event_code::WorkerLost,
                { { "worker", aRow.mIdentity.mName },
                  { "incarnation", std::to_string(aRow.mIdentity.mIncarnation) },
-                 { "tasks", std::to_string(aRow.mFlights.size()) } });
-  auto flights = std::move(aRow.mFlights);
-  aRow.mFlights.clear();
+                 { "tasks", std::to_string(aRow.mInFlight.size()) } });
+  auto flights = std::move(aRow.mInFlight);
+  aRow.mInFlight.clear();
   for (const auto& [ref, lost] : flights) {
-    SettleTask(lost.mJob,
+    FinishTask(lost.mJob,
                ref.index(),
                run_state::Unknown,
                task_reason::WorkerLost,
@@ -343,11 +343,11 @@
   auto restored = std::move(aRow.mRestored);
   aRow.mRestored.clear();
   for (const auto& [ref, job] : restored) {
-    SettleTask(
+    FinishTask(
       job, ref.index(), run_state::Unknown, task_reason::WorkerLost, aNow);
   }
   ForgetRecordsAt(aRow.mIdentity.mName);
-  mRosterGone.push_back(
+  mLostWorkers.push_back(
     { aRow.mIdentity.mName, aRow.mIdentity.mIncarnation, aNow });
   mAbsent[aRow.mIdentity.mName] = { aRow.mTraits, aNow };
 }
@@ -376,13 +376,13 @@
 }
 
 void
-shard_owner::KeepWorkers(instant aNow)
+shard_owner::CheckWorkers(instant aNow)
 {
   std::vector<std::string> lost;
   std::vector<peer_id> silent;
   for (auto& [name, row] : mWorkers) {
     if (row.mPeer == 0) {
-      if (aNow - row.mLinkDownSince >= mOptions.mGiveUp) {
+      if (aNow - row.mLinkDownSince >= mOptions.mWorkerTimeout) {
         lost.push_back(name);
       }
       continue;
@@ -435,7 +435,7 @@
     status.mIncarnation = row.mIdentity.mIncarnation;
     status.mConnected = row.mPeer != 0;
     status.mLeased = row.mLeased && aNow < row.mLeaseEnd;
-    status.mSetAside = mDispatcher.SetAside(row.mHandle, aNow);
+    status.mQuarantined = mDispatcher.IsQuarantined(row.mHandle, aNow);
     status.mSlots = row.mTraits.mSlots;
     status.mRunning = mDispatcher.Running(row.mHandle);
     status.mSlowness = mDispatcher.Estimator().Slowness(0, row.mHandle);
@@ -449,7 +449,7 @@
 {
   if (aNow >= mNextKeep) {
     mNextKeep = aNow + kKeepInterval;
-    KeepWorkers(aNow);
+    CheckWorkers(aNow);
     CheckComplete(aNow);
     ExpireWaiters(aNow);
     FailUnsatisfiable(aNow);
--- a/cactusmast/shard_owner.h
+++ b/cactusmast/shard_owner.h
@@ -52,7 +52,7 @@
   duration mLeaseMargin = std::chrono::milliseconds(200);
   duration mRenewInterval = std::chrono::milliseconds(900);
   // A worker without a working link for this long is given up.
-  duration mGiveUp = std::chrono::seconds(10);
+  duration mWorkerTimeout = std::chrono::seconds(10);
   // Unknown keys wait this long for missing records.
   duration mHold = std::chrono::seconds(5);
   size_t mMaxHeld = 10000;
@@ -226,7 +226,7 @@
     uint64_t mIncarnation = 0;
     bool mConnected = false;
     bool mLeased = false;
-    bool mSetAside = false;
+    bool mQuarantined = false;
     uint32_t mSlots = 0;
     uint32_t mRunning = 0;
     double mSlowness = 0;
@@ -234,7 +234,7 @@
   std::vector<worker_status> Workers(instant aNow) const;
 
 private:
-  struct flight
+  struct in_flight_task
   {
     job_handle mJob = 0;
     uint32_t mLane = 0;
@@ -270,8 +270,8 @@
     instant mBackOffUntil{};
     uint64_t mSequence = 0;
     std::deque<sent_sequence> mSent;
-    std::unordered_map<task_ref, flight, task_ref_hash, task_ref_equal>
-      mFlights;
+    std::unordered_map<task_ref, in_flight_task, task_ref_hash, task_ref_equal>
+      mInFlight;
     // Started by an earlier owner and still running.
     std::unordered_map<task_ref, bool, task_ref_hash, task_ref_equal> mAdopted;
     // Started by an earlier owner for jobs that were submitted again here.
@@ -305,7 +305,7 @@
   void ConfirmLease(worker_row& aRow, uint64_t aSequence, instant aNow);
   void OnLeased(worker_row& aRow);
   void UpdateAccepting(worker_row& aRow, instant aNow);
-  void AskAboutFlights(worker_row& aRow);
+  void QueryInFlight(worker_row& aRow);
   void LoseWorker(worker_row& aRow, instant aNow);
   void RemoveWorker(const std::string& aName);
   void OnCleanStop(worker_row& aRow, instant aNow);
@@ -324,19 +324,19 @@
   void OnRefused(worker_row& aRow,
                  const wire::task_result_msg& aResult,
                  instant aNow);
-  void Requeue(const flight& aFlight,
+  void Requeue(const in_flight_task& aFlight,
                uint32_t aIndex,
                bool aCounted,
                instant aNow);
-  void SettleTask(job_handle aJob,
+  void FinishTask(job_handle aJob,
                   uint32_t aIndex,
                   run_state aRun,
                   task_reason aReason,
                   instant aNow);
-  void SettleResult(job_handle aJob,
-                    wire::task_result_msg aResult,
-                    instant aNow);
-  void SettleQueued(job_handle aJob, task_reason aReason, instant aNow);
+  void FinishWithResult(job_handle aJob,
+                        wire::task_result_msg aResult,
+                        instant aNow);
+  void FinishQueued(job_handle aJob, task_reason aReason, instant aNow);
 
   void Accept(submission aSubmission, const waiter& aWaiter, instant aNow);
   const profile& ProfileFor(const submission& aSubmission, bool aKnownJob);
@@ -361,16 +361,16 @@
   void AddWaiter(job_handle aJob, const waiter& aWaiter);
 
   void ReleaseHeld(instant aNow);
-  void NoteDoubtful(const job_id& aId, instant aNow);
+  void AddInDoubt(const job_id& aId, instant aNow);
   // Whether aId was refused as in doubt and that doubt was never resolved.
-  bool IsDoubtful(const job_id& aId) const;
-  void SettleDoubtful(job_handle aJob, instant aNow);
+  bool IsInDoubt(const job_id& aId) const;
+  void FailInDoubt(job_handle aJob, instant aNow);
   void NoteAbandoned(const job_row& aRow);
   void SendAbandoned();
   void ExpireWaiters(instant aNow);
   void ExpireDeadlines(instant aNow);
   void FailUnsatisfiable(instant aNow);
-  void KeepWorkers(instant aNow);
+  void CheckWorkers(instant aNow);
   void Schedule(instant aNow);
   void AddToBatch(worker_row& aRow,
                   const assignment& aStart,
@@ -406,15 +406,15 @@
   // At the claim, and those of them that have not reported yet.
   std::vector<known_worker> mInitialKnown;
   std::vector<known_worker> mMissing;
-  std::vector<known_worker> mRosterGone; // lost under this owner
+  std::vector<known_worker> mLostWorkers; // lost under this owner
   bool mEverLeased = false;
   bool mSuperseded = false;
-  bool mDoubtReported = false;
+  bool mInDoubtReported = false;
   // Keys that were refused as in doubt, and when last. If the missing workers
   // report, they are forgotten; if the workers are given up, these keys can
   // never be told from started ones and are answered as unknown.
-  std::unordered_map<job_id, instant, job_id_hash> mDoubtful;
-  bool mDoubtExpired = false;
+  std::unordered_map<job_id, instant, job_id_hash> mInDoubt;
+  bool mInDoubtExpired = false;
   std::unordered_map<job_id, std::vector<recovered_task>, job_id_hash>
     mRecovered;
   std::unordered_map<job_id, wire::decided_job_msg, job_id_hash> mInherited;
--- a/cactusmast/shard_owner_accept.cc
+++ b/cactusmast/shard_owner_accept.cc
@@ -71,7 +71,7 @@
     }
     // An earlier owner may have accepted this key and started its tasks on a
     // worker that cannot be asked. Starting them again could run them twice.
-    NoteDoubtful(held.mSubmission.mId, aNow);
+    AddInDoubt(held.mSubmission.mId, aNow);
     // The worker may return at any moment, so the caller is asked back soon.
     auto spread = milliseconds(
       int64_t(double(kDoubtRetry.count()) * mRandom.NextUniform()));
@@ -87,35 +87,35 @@
 }
 
 void
-shard_owner::NoteDoubtful(const job_id& aId, instant aNow)
+shard_owner::AddInDoubt(const job_id& aId, instant aNow)
 {
   constexpr size_t kMaxDoubtful = 100000;
-  if (mDoubtful.size() >= kMaxDoubtful) {
+  if (mInDoubt.size() >= kMaxDoubtful) {
     // Make room by dropping those that nobody asked for in a retention time.
-    for (auto entry = mDoubtful.begin(); entry != mDoubtful.end();) {
+    for (auto entry = mInDoubt.begin(); entry != mInDoubt.end();) {
       bool old = entry->second + mOptions.mJobs.mRetention <= aNow;
-      entry = old ? mDoubtful.erase(entry) : std::next(entry);
+      entry = old ? mInDoubt.erase(entry) : std::next(entry);
     }
   }
-  mDoubtful[aId] = aNow;
+  mInDoubt[aId] = aNow;
 }
 
 bool
-shard_owner::IsDoubtful(const job_id& aId) const
+shard_owner::IsInDoubt(const job_id& aId) const
 {
-  return mDoubtExpired && mDoubtful.count(aId) > 0;
+  return mInDoubtExpired && mInDoubt.count(aId) > 0;
 }
 
 // The workers that could have told are gone for good. What is not known from
 // other records may have started there, and must not start again.
 void
-shard_owner::SettleDoubtful(job_handle aJob, instant aNow)
+shard_owner::FailInDoubt(job_handle aJob, instant aNow)
 {
-  mDoubtful.erase(mJobs.At(aJob).mSubmission.mId);
+  mInDoubt.erase(mJobs.At(aJob).mSubmission.mId);
   uint32_t count = uint32_t(mJobs.At(aJob).mTasks.size());
   for (uint32_t i = 0; i < count; i++) {
     if (mJobs.At(aJob).mTasks[i].mState == task_state::Queued) {
-      SettleTask(aJob, i, run_state::Unknown, task_reason::WorkerLost, aNow);
+      FinishTask(aJob, i, run_state::Unknown, task_reason::WorkerLost, aNow);
     }
   }
 }
@@ -154,7 +154,7 @@
 void
 shard_owner::CheckSatisfiable(uint32_t aLane, instant aNow)
 {
-  if (mDispatcher.Satisfiable(aLane)) {
+  if (mDispatcher.IsSatisfiable(aLane)) {
     return;
   }
   const profile& needs = mDispatcher.LaneProfile(aLane);
@@ -177,7 +177,7 @@
 shard_owner::Accept(submission aSubmission, const waiter& aWaiter, instant aNow)
 {
   job_id id = aSubmission.mId;
-  bool doubtful = IsDoubtful(id);
+  bool doubtful = IsInDoubt(id);
   bool recovered =
     doubtful || mRecovered.count(id) > 0 || mInherited.count(id) > 0;
   uint32_t count = uint32_t(aSubmission.mPayloads.size());
@@ -210,19 +210,19 @@
       return; // nothing is left to start or to wait for
     }
     if (doubtful) {
-      SettleDoubtful(job, aNow);
+      FailInDoubt(job, aNow);
     }
     uint32_t queued = 0;
-    for (const task_entry& task : row.mTasks) {
+    for (const task_progress& task : row.mTasks) {
       queued += task.mState == task_state::Queued ? 1 : 0;
     }
     mDispatcher.Enqueue(job, lane, teamIndex, queued, aNow);
-    if (!mDispatcher.Satisfiable(lane)) {
+    if (!mDispatcher.IsSatisfiable(lane)) {
       mUnsatisfiable.push_back(job);
     }
   } catch (const failure& error) {
     // Of a job that an earlier owner held, some tasks may have run.
-    run_state run = recovered ? run_state::Unknown : error.Run();
+    run_state run = recovered ? run_state::Unknown : error.RunState();
     Refuse(aWaiter,
            failure(error.Code(),
                    error.Step(),
@@ -246,7 +246,7 @@
   }
   uint32_t missing = queued + aCount - limit;
   for (job_handle victim : mDispatcher.ShedFor(aLane, aTeam, missing)) {
-    SettleQueued(victim, task_reason::Shed, aNow);
+    FinishQueued(victim, task_reason::Shed, aNow);
   }
 }
 
@@ -259,7 +259,7 @@
   auto inherited = mInherited.find(id);
   if (inherited != mInherited.end()) {
     for (wire::task_result_msg& result : inherited->second.tasks) {
-      SettleResult(aJob, std::move(result), aNow);
+      FinishWithResult(aJob, std::move(result), aNow);
     }
     mInherited.erase(inherited);
   }
@@ -277,7 +277,7 @@
     }
     FetchRestored(aJob);
     if (abandoned) {
-      SettleQueued(aJob, task_reason::Cancelled, aNow);
+      FinishQueued(aJob, task_reason::Cancelled, aNow);
     }
   }
   return mJobs.At(aJob).mState != job_state::Running;
@@ -290,13 +290,13 @@
 {
   job_row& row = mJobs.At(aJob);
   if (aTask.mIndex >= row.mTasks.size() ||
-      row.mTasks[aTask.mIndex].mState == task_state::Settled) {
+      row.mTasks[aTask.mIndex].mState == task_state::Finished) {
     return;
   }
   auto worker = mWorkers.find(aTask.mWorker);
   if (worker == mWorkers.end()) {
     bool ended = aTask.mState == record_state::Finished;
-    SettleTask(aJob,
+    FinishTask(aJob,
                aTask.mIndex,
                ended ? run_state::Run : run_state::Unknown,
                ended ? task_reason::ResultGone : task_reason::WorkerLost,
@@ -351,7 +351,7 @@
     try {
       CheckSatisfiable(mJobs.At(job).mLane, aNow);
     } catch (const failure&) {
-      SettleQueued(job, task_reason::NeverSatisfied, aNow);
+      FinishQueued(job, task_reason::Unsatisfiable, aNow);
     }
   }
 }
@@ -420,14 +420,14 @@
   mJobs.At(job).mCancelled = true;
   AddWaiter(job, aWaiter);
   mEvents.Emit(event_code::JobCancelled, { { "job", aId.Text() } });
-  SettleQueued(job, task_reason::Cancelled, aNow);
+  FinishQueued(job, task_reason::Cancelled, aNow);
   if (mJobs.At(job).mState != job_state::Running) {
     return;
   }
   // Only what was dispatched costs a message, one for each worker.
   for (auto& [name, row] : mWorkers) {
     wire::cancel_tasks_msg cancel;
-    for (const auto& [ref, flown] : row.mFlights) {
+    for (const auto& [ref, flown] : row.mInFlight) {
       if (flown.mJob == job) {
         cancel.refs.push_back(ref);
       }
--- a/cactusmast/shard_owner_jobs.cc
+++ b/cactusmast/shard_owner_jobs.cc
@@ -68,12 +68,12 @@
 }
 
 void
-shard_owner::SettleResult(job_handle aJob,
-                          wire::task_result_msg aResult,
-                          instant aNow)
+shard_owner::FinishWithResult(job_handle aJob,
+                              wire::task_result_msg aResult,
+                              instant aNow)
 {
   bool decided = false;
-  if (!mJobs.Settle(aJob, std::move(aResult), aNow, &decided)) {
+  if (!mJobs.FinishTask(aJob, std::move(aResult), aNow, &decided)) {
     mCounters.mDuplicateResults++;
     return;
   }
@@ -95,7 +95,7 @@
 }
 
 void
-shard_owner::SettleTask(job_handle aJob,
+shard_owner::FinishTask(job_handle aJob,
                         uint32_t aIndex,
                         run_state aRun,
                         task_reason aReason,
@@ -105,17 +105,17 @@
     return;
   }
   task_ref ref = RefOf(mJobs.At(aJob).mSubmission.mId, aIndex);
-  SettleResult(aJob, MadeResult(ref, aRun, aReason), aNow);
+  FinishWithResult(aJob, MadeResult(ref, aRun, aReason), aNow);
 }
 
 void
-shard_owner::SettleQueued(job_handle aJob, task_reason aReason, instant aNow)
+shard_owner::FinishQueued(job_handle aJob, task_reason aReason, instant aNow)
 {
   mDispatcher.Remove(aJob);
   job_row& row = mJobs.At(aJob);
   for (uint32_t i = 0; i < row.mTasks.size(); i++) {
     if (row.mTasks[i].mState == task_state::Queued) {
-      SettleTask(aJob, i, run_state::NotRun, aReason, aNow);
+      FinishTask(aJob, i, run_state::NotRun, aReason, aNow);
     }
   }
 }
@@ -158,17 +158,17 @@
   if (restored != aRow.mRestored.end()) {
     job_handle job = restored->second;
     aRow.mRestored.erase(restored);
-    SettleResult(job, aResult, aNow);
+    FinishWithResult(job, aResult, aNow);
     return;
   }
-  auto found = aRow.mFlights.find(aResult.ref);
-  if (found == aRow.mFlights.end()) {
+  auto found = aRow.mInFlight.find(aResult.ref);
+  if (found == aRow.mInFlight.end()) {
     mCounters.mDuplicateResults++;
     return;
   }
-  flight landed = found->second;
-  aRow.mFlights.erase(found);
-  bool wasAside = mDispatcher.SetAside(aRow.mHandle, aNow);
+  in_flight_task landed = found->second;
+  aRow.mInFlight.erase(found);
+  bool wasAside = mDispatcher.IsQuarantined(aRow.mHandle, aNow);
   mDispatcher.Finished({ aRow.mHandle,
                          landed.mLane,
                          landed.mTeam,
@@ -176,11 +176,11 @@
                          duration(int64_t(aResult.run_us)),
                          IsWorkersFault(aResult) },
                        aNow);
-  if (!wasAside && mDispatcher.SetAside(aRow.mHandle, aNow)) {
+  if (!wasAside && mDispatcher.IsQuarantined(aRow.mHandle, aNow)) {
     mEvents.Emit(event_code::WorkerSetAside,
                  { { "worker", aRow.mIdentity.mName } });
   }
-  SettleResult(landed.mJob, aResult, aNow);
+  FinishWithResult(landed.mJob, aResult, aNow);
 }
 
 void
@@ -190,12 +190,12 @@
 {
   mCounters.mRefusedTasks++;
   AddAck(aRow, aResult.ref, aNow);
-  auto found = aRow.mFlights.find(aResult.ref);
-  if (found == aRow.mFlights.end()) {
+  auto found = aRow.mInFlight.find(aResult.ref);
+  if (found == aRow.mInFlight.end()) {
     return;
   }
-  flight back = found->second;
-  aRow.mFlights.erase(found);
+  in_flight_task back = found->second;
+  aRow.mInFlight.erase(found);
   mDispatcher.NotStarted(aRow.mHandle, back.mLane, back.mTeam, back.mExpected);
   auto reason = task_reason(aResult.reason);
   if (reason == task_reason::StaleLease) {
@@ -210,7 +210,7 @@
 
 // Dispatches a task again that certainly did not start.
 void
-shard_owner::Requeue(const flight& aFlight,
+shard_owner::Requeue(const in_flight_task& aFlight,
                      uint32_t aIndex,
                      bool aCounted,
                      instant aNow)
@@ -223,9 +223,9 @@
       row.mTasks[aIndex].mState != task_state::Dispatched) {
     return;
   }
-  task_entry& task = row.mTasks[aIndex];
+  task_progress& task = row.mTasks[aIndex];
   if (row.mCancelled) {
-    SettleTask(
+    FinishTask(
       aFlight.mJob, aIndex, run_state::NotRun, task_reason::Cancelled, aNow);
     return;
   }
@@ -233,10 +233,10 @@
     task.mAttempts++;
     uint32_t limit = mDispatcher.LaneProfile(row.mLane).mRetryLimit;
     if (task.mAttempts > limit || !mDispatcher.TakeRetry()) {
-      SettleTask(aFlight.mJob,
+      FinishTask(aFlight.mJob,
                  aIndex,
                  run_state::NotRun,
-                 task_reason::RetriesSpent,
+                 task_reason::RetriesExhausted,
                  aNow);
       return;
     }
@@ -261,14 +261,14 @@
       mDispatcher.NotStarted(
         start.mWorker, start.mLane, start.mTeam, start.mExpected);
       if (taken) {
-        SettleTask(
+        FinishTask(
           start.mJob, index, run_state::NotRun, task_reason::TimedOut, aNow);
       }
       continue;
     }
     row.mTasks[index].mState = task_state::Dispatched;
     task_ref ref = RefOf(row.mSubmission.mId, index);
-    worker.mFlights[ref] = {
+    worker.mInFlight[ref] = {
       start.mJob, start.mLane, start.mTeam, start.mExpected
     };
     AddToBatch(worker, start, index, aNow);
@@ -368,13 +368,13 @@
       // What runs is cut off by its guard at the same time; its results are
       // about to arrive and say for certain how each task ended.
       instant deadline = row.mDeadline;
-      SettleQueued(job, task_reason::TimedOut, aNow);
+      FinishQueued(job, task_reason::TimedOut, aNow);
       mJobs.WatchDeadline(job, deadline + mOptions.mDeadlineGrace);
       continue;
     }
     for (uint32_t i = 0; i < row.mTasks.size(); i++) {
       if (row.mTasks[i].mState == task_state::Dispatched) {
-        SettleTask(job, i, run_state::Unknown, task_reason::TimedOut, aNow);
+        FinishTask(job, i, run_state::Unknown, task_reason::TimedOut, aNow);
       }
     }
   }
@@ -413,11 +413,11 @@
     }
   }
   for (job_handle job : running) {
-    SettleQueued(job, task_reason::WorkerLost, aNow);
+    FinishQueued(job, task_reason::WorkerLost, aNow);
     job_row& row = mJobs.At(job);
     for (uint32_t i = 0; i < row.mTasks.size(); i++) {
       if (row.mTasks[i].mState == task_state::Dispatched) {
-        SettleTask(job, i, run_state::Unknown, task_reason::WorkerLost, aNow);
+        FinishTask(job, i, run_state::Unknown, task_reason::WorkerLost, aNow);
       }
     }
   }
--- a/cactusmast/shard_owner_records.cc
+++ b/cactusmast/shard_owner_records.cc
@@ -37,7 +37,7 @@
   for (const wire::record_summary& item : aRecords.items) {
     auto state = record_state(item.state());
     if (state == record_state::Tombstone ||
-        row->mFlights.count(item.ref()) > 0) {
+        row->mInFlight.count(item.ref()) > 0) {
       continue;
     }
     if (mSafeguards.mUseRecords && !MergeRecord(item, *row, aNow)) {
@@ -225,7 +225,7 @@
   if (!aKept) {
     // It was the only one: should this owner fail, nobody can tell what ran
     // there, and the next owner must know that.
-    mRosterGone.push_back({ aName, row.mIdentity.mIncarnation, aNow });
+    mLostWorkers.push_back({ aName, row.mIdentity.mIncarnation, aNow });
   }
   ForgetRecordsAt(aName);
   mEvents.Emit(event_code::WorkerLeft,
@@ -244,20 +244,20 @@
   size_t missing = mMissing.size();
   mMissing.erase(std::remove_if(mMissing.begin(), mMissing.end(), expired),
                  mMissing.end());
-  mDoubtExpired = mDoubtExpired || mMissing.size() < missing;
-  mRosterGone.erase(
-    std::remove_if(mRosterGone.begin(), mRosterGone.end(), expired),
-    mRosterGone.end());
+  mInDoubtExpired = mInDoubtExpired || mMissing.size() < missing;
+  mLostWorkers.erase(
+    std::remove_if(mLostWorkers.begin(), mLostWorkers.end(), expired),
+    mLostWorkers.end());
   if (!before && mMissing.empty()) {
     mEvents.Emit(event_code::ShardComplete,
                  { { "shard", std::to_string(mOptions.mShard) } });
   }
-  if (mMissing.empty() && !mDoubtExpired) {
-    mDoubtful.clear();
+  if (mMissing.empty() && !mInDoubtExpired) {
+    mInDoubt.clear();
   }
-  if (!mMissing.empty() && !mDoubtReported &&
+  if (!mMissing.empty() && !mInDoubtReported &&
       aNow - mClaimedAt >= mOptions.mHold) {
-    mDoubtReported = true;
+    mInDoubtReported = true;
     mEvents.Emit(event_code::ShardInDoubt,
                  { { "shard", std::to_string(mOptions.mShard) },
                    { "worker", mMissing.front().mName } });
@@ -267,7 +267,7 @@
 std::vector<known_worker>
 shard_owner::Roster() const
 {
-  std::vector<known_worker> roster = mRosterGone;
+  std::vector<known_worker> roster = mLostWorkers;
   for (const known_worker& missing : mMissing) {
     if (missing.mName != kUnlistedWorker) {
       roster.push_back(missing);
@@ -352,7 +352,7 @@
       present != mWorkers.end() && present->second.mRecordsIn &&
       present->second.mIdentity.mIncarnation == listed.incarnation;
     if (!listed.needed) {
-      mRosterGone.push_back(std::move(worker));
+      mLostWorkers.push_back(std::move(worker));
     } else if (!reported) {
       mMissing.push_back(std::move(worker));
     }
@@ -376,7 +376,7 @@
   for (const known_worker& missing : mMissing) {
     add(missing, true);
   }
-  for (const known_worker& gone : mRosterGone) {
+  for (const known_worker& gone : mLostWorkers) {
     add(gone, false);
   }
   for (const auto& [name, row] : mWorkers) {
@@ -405,7 +405,7 @@
     job.fingerprint = row.mFingerprint;
     job.state = uint8_t(row.mState);
     for (uint32_t i = 0; i < row.mTasks.size(); i++) {
-      if (row.mTasks[i].mState == task_state::Settled) {
+      if (row.mTasks[i].mState == task_state::Finished) {
         job.tasks.push_back(row.mResults[i]);
       }
     }
@@ -425,7 +425,7 @@
   }
   for (const auto& [name, row] : mWorkers) {
     // Nobody can be asked about these at present: they count as started.
-    for (const auto& [ref, flown] : row.mFlights) {
+    for (const auto& [ref, flown] : row.mInFlight) {
       if (row.mPeer == 0) {
         part.starts.emplace_back(ref, uint8_t(record_state::Running), false);
       }
--- a/cactusmast/sized_task.cc
+++ b/cactusmast/sized_task.cc
@@ -31,7 +31,7 @@
 }
 
 std::string
-JobText(uint64_t aJob)
+FormatJobId(uint64_t aJob)
 {
   constexpr char kDigits[] = "0123456789abcdef";
   std::string text(kJobDigits, '0');
@@ -42,7 +42,7 @@
 }
 
 bool
-ParseJob(std::string_view aText, uint64_t* aOut)
+ParseJobId(std::string_view aText, uint64_t* aOut)
 {
   const char* end = aText.data() + aText.size();
   auto [rest, error] = std::from_chars(aText.data(), end, *aOut, 16);
--- a/cactusmast/sized_task.h
+++ b/cactusmast/sized_task.h
@@ -18,25 +18,25 @@
 
 // What a task occupies while it runs, or what a backend server has. Signed,
 // so that free room may be reported as overdrawn.
-struct task_size
+struct resources
 {
   int64_t mCpuMillis = 0; // thousandths of a core
   int64_t mMemoryMb = 0;
   int64_t mGpus = 0;
 
-  bool FitsIn(const task_size& aRoom) const
+  bool FitsIn(const resources& aRoom) const
   {
     return mCpuMillis <= aRoom.mCpuMillis && mMemoryMb <= aRoom.mMemoryMb &&
            mGpus <= aRoom.mGpus;
   }
-  task_size& operator+=(const task_size& aOther)
+  resources& operator+=(const resources& aOther)
   {
     mCpuMillis += aOther.mCpuMillis;
     mMemoryMb += aOther.mMemoryMb;
     mGpus += aOther.mGpus;
     return *this;
   }
-  task_size& operator-=(const task_size& aOther)
+  resources& operator-=(const resources& aOther)
   {
     mCpuMillis -= aOther.mCpuMillis;
     mMemoryMb -= aOther.mMemoryMb;
@@ -66,11 +66,11 @@
 
 // The 16 hexadecimal digits of a job's identity.
 std::string
-JobText(uint64_t aJob);
+FormatJobId(uint64_t aJob);
 
 // False unless aText is exactly 16 hexadecimal digits.
 bool
-ParseJob(std::string_view aText, uint64_t* aOut);
+ParseJobId(std::string_view aText, uint64_t* aOut);
 
 // How one attempt at a task ended. Values go over the wire: append only.
 enum class attempt_outcome : uint8_t
@@ -78,7 +78,7 @@
   Done,
   Failed,   // the backend server ran it and reports failure
   NoRoom,   // not started: could not start in the time given
-  Leaving,  // not started: the backend server or its executor is stopping, or
+  Draining, // not started: the backend server or its executor is stopping, or
             // their data centre is being evacuated
   Unusable, // not started: the backend server is absent or ill
   Stopped,  // withdrawn, or its time ran out; it runs no longer
@@ -94,7 +94,7 @@
 NeverStarted(attempt_outcome aOutcome)
 {
   return aOutcome == attempt_outcome::NoRoom ||
-         aOutcome == attempt_outcome::Leaving ||
+         aOutcome == attempt_outcome::Draining ||
          aOutcome == attempt_outcome::Unusable;
 }
 
@@ -105,8 +105,8 @@
   Absent, // it has not announced itself, or does not answer
   Ready,
   Draining,
-  Ill,       // it answers, but fails or stalls what it starts
-  Evacuated, // its data centre is to get nothing new
+  Quarantined, // it answers, but fails or stalls what it starts
+  Evacuated,   // its data centre is to get nothing new
   Count
 };
 
@@ -117,8 +117,8 @@
 struct job_step
 {
   uint32_t mCount = 0;
-  task_size mSize;
-  uint32_t mEstimateMs = 0;
+  resources mSize;
+  uint32_t mDeclaredMs = 0;
   std::string mRequiredLabel; // empty: any backend server
   std::string mDataRack;      // empty: anywhere
 };
--- a/cactusmast/speed_estimate.h
+++ b/cactusmast/speed_estimate.h
@@ -2,7 +2,7 @@
 // times over what their callers declared, older tasks counting less.
 //
 //   speed_estimate speed;
-//   speed.Learn(90, 60);
+//   speed.Observe(90, 60);
 //   double slowness = speed.Slowness(); // above 1: slower than declared
 
 #ifndef CACTUSMAST_SPEED_ESTIMATE_H_
@@ -19,7 +19,7 @@
   {
   }
 
-  void Learn(double aRunMs, double aDeclaredMs)
+  void Observe(double aRunMs, double aDeclaredMs)
   {
     mRunMs = mRunMs * kDecay + aRunMs;
     mDeclaredMs = mDeclaredMs * kDecay + aDeclaredMs;
--- a/cactusmast/stored_row.cc
+++ b/cactusmast/stored_row.cc
@@ -8,7 +8,7 @@
 
 } // namespace
 
-stored_row::stored_row(watched_store& aStore,
+stored_row::stored_row(metadata_store& aStore,
                        row_place aPlace,
                        event_sink& aEvents)
   : mStore(aStore)
@@ -18,23 +18,23 @@
 }
 
 void
-stored_row::Recall(recall_handler aRecalled)
+stored_row::Load(load_handler aRecalled)
 {
   auto take = [this, handler = std::move(aRecalled)](
-                const watch_answer& aAnswer) { OnRecalled(aAnswer, handler); };
+                const store_reply& aAnswer) { OnRecalled(aAnswer, handler); };
   mStore.ReadPart(mPlace.mTable, mPlace.mPart, take);
 }
 
 void
-stored_row::OnRecalled(const watch_answer& aAnswer,
-                       const recall_handler& aRecalled)
+stored_row::OnRecalled(const store_reply& aAnswer,
+                       const load_handler& aRecalled)
 {
-  if (aAnswer.mStatus != watch_status::Ok) {
+  if (aAnswer.mStatus != store_status::Ok) {
     mEvents.Emit(event_code::TableUnavailable,
                  { { "table", mPlace.mTable }, { "text", aAnswer.mText } });
     return;
   }
-  for (const watched_row& row : aAnswer.mRows) {
+  for (const store_row& row : aAnswer.mRows) {
     if (row.mKey != mPlace.mKey || row.mDeleted) {
       continue;
     }
@@ -46,7 +46,7 @@
 }
 
 void
-stored_row::Keep(std::string aValue)
+stored_row::Set(std::string aValue)
 {
   mWanted = std::move(aValue);
 }
@@ -60,10 +60,10 @@
   mWriting = true;
   mNextTry = aNow + kWriteRetry;
   std::string value = *mWanted;
-  watched_row row{ mPlace.mKey, value, value.empty(), mPlace.mPart };
-  mStore.PutRow(mPlace.mTable, row, [this, value](const watch_answer& aAnswer) {
+  store_row row{ mPlace.mKey, value, value.empty(), mPlace.mPart };
+  mStore.PutRow(mPlace.mTable, row, [this, value](const store_reply& aAnswer) {
     mWriting = false;
-    if (aAnswer.mStatus == watch_status::Ok) {
+    if (aAnswer.mStatus == store_status::Ok) {
       mStored = value;
       mNextTry = instant(0);
     }
--- a/cactusmast/stored_row.h
+++ b/cactusmast/stored_row.h
@@ -27,21 +27,21 @@
 class stored_row
 {
 public:
-  using recall_handler = std::function<void(const std::string&)>;
+  using load_handler = std::function<void(const std::string&)>;
 
-  stored_row(watched_store& aStore, row_place aPlace, event_sink& aEvents);
+  stored_row(metadata_store& aStore, row_place aPlace, event_sink& aEvents);
 
   // Reads the row once; aRecalled gets its value if there is one.
-  void Recall(recall_handler aRecalled);
+  void Load(load_handler aRecalled);
   // What the row is to hold, or that it is to go. Tick writes it.
-  void Keep(std::string aValue);
-  void Remove() { Keep(""); }
+  void Set(std::string aValue);
+  void Remove() { Set(""); }
   void Tick(instant aNow);
 
 private:
-  void OnRecalled(const watch_answer& aAnswer, const recall_handler& aRecalled);
+  void OnRecalled(const store_reply& aAnswer, const load_handler& aRecalled);
 
-  watched_store& mStore;
+  metadata_store& mStore;
   row_place mPlace;
   event_sink& mEvents;
   // Empty text stands for no row.
--- a/cactusmast/table_watcher.cc
+++ b/cactusmast/table_watcher.cc
@@ -10,14 +10,14 @@
 // Retries begin fast, since a lost answer is the most frequent fault, and slow
 // down to spare a store in trouble. The longest pause is what a change may be
 // late by when the store returns; a change has to be in force after 2 s.
-constexpr duration kFirstPause = milliseconds(50);
-constexpr duration kLongestPause = milliseconds(400);
+constexpr duration kMinBackoff = milliseconds(50);
+constexpr duration kMaxBackoff = milliseconds(400);
 
 } // namespace
 
 table_watcher::table_watcher(std::string aTable,
                              uint32_t aWaitMs,
-                             watched_store& aStore,
+                             metadata_store& aStore,
                              change_handler aOnChange,
                              event_sink& aEvents)
   : mTable(std::move(aTable))
@@ -25,7 +25,7 @@
   , mStore(aStore)
   , mOnChange(std::move(aOnChange))
   , mEvents(aEvents)
-  , mPause(kFirstPause)
+  , mBackoff(kMinBackoff)
 {
 }
 
@@ -39,27 +39,27 @@
   mWaiting = true;
   if (mHaveVersion) {
     mStore.WaitForChange(
-      mTable, mVersion, mWaitMs, [this](const watch_answer& aAnswer) {
+      mTable, mVersion, mWaitMs, [this](const store_reply& aAnswer) {
         OnAnswer(aAnswer, false);
       });
   } else {
-    mStore.ReadPart(mTable, "", [this](const watch_answer& aAnswer) {
+    mStore.ReadPart(mTable, "", [this](const store_reply& aAnswer) {
       OnAnswer(aAnswer, true);
     });
   }
 }
 
 void
-table_watcher::OnAnswer(const watch_answer& aAnswer, bool aWhole)
+table_watcher::OnAnswer(const store_reply& aAnswer, bool aWhole)
 {
   mWaiting = false;
-  if (aAnswer.mStatus != watch_status::Ok) {
-    mNextTry = mNow + mPause;
-    mPause = std::min(kLongestPause, mPause * 2);
+  if (aAnswer.mStatus != store_status::Ok) {
+    mNextTry = mNow + mBackoff;
+    mBackoff = std::min(kMaxBackoff, mBackoff * 2);
     // The table is read whole after any fault: a watch that went silent may
     // have missed changes, and this costs one small read.
     mHaveVersion = false;
-    if (mAvailable && aAnswer.mStatus == watch_status::Unavailable) {
+    if (mAvailable && aAnswer.mStatus == store_status::Unavailable) {
       mAvailable = false;
       mEvents.Emit(event_code::TableUnavailable,
                    { { "table", mTable }, { "text", aAnswer.mText } });
@@ -73,7 +73,7 @@
   }
   mAvailable = true;
   mEverAnswered = true;
-  mPause = kFirstPause;
+  mBackoff = kMinBackoff;
   mNextTry = mNow;
   mOnChange({ aAnswer.mRows, aAnswer.mVersion, aWhole && !aAnswer.mMore });
   // A whole read may be of an earlier state than what was seen before. Going
--- a/cactusmast/table_watcher.h
+++ b/cactusmast/table_watcher.h
@@ -18,7 +18,7 @@
 
 namespace cactusmast {
 
-struct watched_row
+struct store_row
 {
   std::string mKey;
   std::string mValue;
@@ -26,7 +26,7 @@
   std::string mPart; // of the table, written independently of the others
 };
 
-enum class watch_status : uint8_t
+enum class store_status : uint8_t
 {
   Ok,
   HistoryGone, // changes since the given version are no longer known
@@ -34,10 +34,10 @@
   Count
 };
 
-struct watch_answer
+struct store_reply
 {
-  watch_status mStatus = watch_status::Unavailable;
-  std::vector<watched_row> mRows;
+  store_status mStatus = store_status::Unavailable;
+  std::vector<store_row> mRows;
   uint64_t mVersion = 0;
   bool mMore = false; // a part was read of which there are further rows
   std::string mText;  // of the fault
@@ -46,17 +46,17 @@
 // What a table_watcher hands on.
 struct table_change
 {
-  const std::vector<watched_row>& mRows;
+  const std::vector<store_row>& mRows;
   uint64_t mVersion = 0; // of the store, as of which the rows are known
   bool mWhole = false;   // there are no rows beside these
 };
 
 // The store as a watcher and a writer of single rows see it.
-class watched_store
+class metadata_store
 {
 public:
-  using callback = std::function<void(const watch_answer&)>;
-  virtual ~watched_store() = default;
+  using callback = std::function<void(const store_reply&)>;
+  virtual ~metadata_store() = default;
   // One part of a table; most tables have only the one without a name.
   virtual void ReadPart(const std::string& aTable,
                         const std::string& aPart,
@@ -68,7 +68,7 @@
                              uint32_t aWaitMs,
                              callback aDone) = 0;
   virtual void PutRow(const std::string& aTable,
-                      const watched_row& aRow,
+                      const store_row& aRow,
                       callback aDone) = 0;
 };
 
@@ -79,7 +79,7 @@
 
   table_watcher(std::string aTable,
                 uint32_t aWaitMs,
-                watched_store& aStore,
+                metadata_store& aStore,
                 change_handler aOnChange,
                 event_sink& aEvents);
 
@@ -87,11 +87,11 @@
   bool Available() const { return mAvailable; }
 
 private:
-  void OnAnswer(const watch_answer& aAnswer, bool aWhole);
+  void OnAnswer(const store_reply& aAnswer, bool aWhole);
 
   std::string mTable;
   uint32_t mWaitMs;
-  watched_store& mStore;
+  metadata_store& mStore;
   change_handler mOnChange;
   event_sink& mEvents;
   bool mWaiting = false; // for an answer
@@ -101,7 +101,7 @@
   bool mEverAnswered = false;
   instant mNow{};
   instant mNextTry{};
-  duration mPause{};
+  duration mBackoff{};
 };
 
 } // namespace cactusmast
--- a/cactusmast/task_executor.cc
+++ b/cactusmast/task_executor.cc
@@ -36,7 +36,7 @@
                              backend_runner& aRunner,
                              event_sink& aEvents,
                              const mechanism_set& aMechanisms)
-  : mFence(aFence)
+  : mFencingToken(aFence)
   , mService(std::move(aService))
   , mDataCenter(std::move(aDataCenter))
   , mLinks(aLinks)
@@ -51,7 +51,7 @@
 {
   entry_link& added = mEntries[aEntry];
   added.mName = aName;
-  added.mHeardAt = aNow;
+  added.mLastHeard = aNow;
 }
 
 void
@@ -70,7 +70,7 @@
     if (one.mState == task_state::Queued) {
       queued.push_back(key);
     } else {
-      OrderStop(one, attempt_outcome::Stopped, aNow);
+      BeginStop(one, attempt_outcome::Stopped, aNow);
       stopped++;
     }
   }
@@ -86,22 +86,22 @@
 }
 
 void
-task_executor::OnPulse(peer_id aEntry, instant aNow)
+task_executor::OnHeartbeat(peer_id aEntry, instant aNow)
 {
   auto found = mEntries.find(aEntry);
   if (found != mEntries.end()) {
-    found->second.mHeardAt = aNow;
+    found->second.mLastHeard = aNow;
   }
 }
 
 void
 task_executor::OnSubscription(peer_id aEntry, bool aWanted, instant aNow)
 {
-  OnPulse(aEntry, aNow);
+  OnHeartbeat(aEntry, aNow);
   auto found = mEntries.find(aEntry);
   if (found != mEntries.end()) {
     found->second.mSubscribed = aWanted;
-    found->second.mAsked = aWanted;
+    found->second.mReportRequested = aWanted;
   }
 }
 
@@ -114,9 +114,9 @@
   if (found == mEntries.end()) {
     return;
   }
-  found->second.mHeardAt = aNow;
-  found->second.mLastOffer = aOrder.offer;
-  mOrderedAt = aNow;
+  found->second.mLastHeard = aNow;
+  found->second.mLastDispatchNumber = aOrder.offer;
+  mLastDispatchAt = aNow;
   OnEvacuations(DecodeEvacuations(aOrder.evacuating.get(), aNow), aNow);
   auto spec = std::make_shared<const std::string>(aOrder.spec);
   for (const wire::task_attempt& attempt : aOrder.tasks) {
@@ -140,14 +140,14 @@
   bool leaving =
     state == server_state::Draining || state == server_state::Evacuated;
   if (mDraining || leaving) {
-    refuse(attempt_outcome::Leaving);
+    refuse(attempt_outcome::Draining);
     return;
   }
   if (state != server_state::Ready) {
     refuse(attempt_outcome::Unusable);
     return;
   }
-  task_size size{ aOrder.cpu_millis, aOrder.memory_mb, aOrder.gpus };
+  resources size{ aOrder.cpu_millis, aOrder.memory_mb, aOrder.gpus };
   // The same task under another order may still be being stopped here.
   if (mTasks.count(key) > 0 || !size.FitsIn(mServer.mCapacity)) {
     refuse(attempt_outcome::NoRoom);
@@ -181,7 +181,7 @@
                            const wire::stop_tasks_msg& aOrder,
                            instant aNow)
 {
-  OnPulse(aEntry, aNow);
+  OnHeartbeat(aEntry, aNow);
   for (uint32_t index : aOrder.indexes) {
     task_key key{ aOrder.job, aOrder.step, index };
     auto found = mTasks.find(key);
@@ -191,7 +191,7 @@
     if (found->second.mState == task_state::Queued) {
       End(key, attempt_outcome::NoRoom, aNow);
     } else {
-      OrderStop(found->second, attempt_outcome::Stopped, aNow);
+      BeginStop(found->second, attempt_outcome::Stopped, aNow);
     }
   }
   MarkChanged();
@@ -201,18 +201,18 @@
 task_executor::OnAnnouncement(const server_announcement& aSaid, instant aNow)
 {
   // An announcement may be delayed and arrive after that of a later life.
-  bool older = mAnnounced && (aSaid.mBornMs < mServer.mBornMs ||
-                              (aSaid.mBornMs == mServer.mBornMs &&
+  bool older = mAnnounced && (aSaid.mStartTimeMs < mServer.mStartTimeMs ||
+                              (aSaid.mStartTimeMs == mServer.mStartTimeMs &&
                                aSaid.mSequence <= mServer.mSequence));
   if (older) {
     return;
   }
-  bool news = !mAnnounced || IsRecalled() || aSaid.mId != mServer.mId ||
-              aSaid.mBornMs != mServer.mBornMs ||
+  bool news = !mAnnounced || IsRestored() || aSaid.mId != mServer.mId ||
+              aSaid.mStartTimeMs != mServer.mStartTimeMs ||
               aSaid.mDraining != mServer.mDraining;
-  NoticeBoot(aSaid.mBornMs, aNow);
-  Adopt(aSaid);
-  mRecallEnd = instant(0);
+  CheckIncarnation(aSaid.mStartTimeMs, aNow);
+  SetServer(aSaid);
+  mRestoredUntil = instant(0);
   mColdUntil = aNow + milliseconds(aSaid.mColdLeftMs);
   NoticeCold(aNow);
   if (news) {
@@ -225,17 +225,17 @@
     MarkChanged();
   }
   if (aSaid.mDraining) {
-    ReturnQueued(attempt_outcome::Leaving, aNow);
+    ReturnQueued(attempt_outcome::Draining, aNow);
   }
 }
 
 void
-task_executor::Adopt(const server_announcement& aServer)
+task_executor::SetServer(const server_announcement& aServer)
 {
   if (!mAnnounced || aServer.mId != mServer.mId) {
-    mRunner.Expect(aServer.mId);
+    mRunner.ExpectInstance(aServer.mId);
   }
-  task_size used = mServer.mCapacity;
+  resources used = mServer.mCapacity;
   used -= mFree;
   mFree = aServer.mCapacity;
   mFree -= used;
@@ -244,21 +244,21 @@
 }
 
 void
-task_executor::OnDeparture(const std::string& aServerId, instant aNow)
+task_executor::OnWithdrawal(const std::string& aServerId, instant aNow)
 {
   if (!mAnnounced || aServerId != mServer.mId) {
     return;
   }
   mEvents.Emit(event_code::BackendWithdrawn, { { "server", aServerId } });
   mServer.mDraining = true;
-  ReturnQueued(attempt_outcome::Leaving, aNow);
+  ReturnQueued(attempt_outcome::Draining, aNow);
   MarkChanged();
 }
 
 server_state
 task_executor::State(instant aNow) const
 {
-  bool unconfirmed = IsRecalled() && mBornMs != mServer.mBornMs;
+  bool unconfirmed = IsRestored() && mServerStartTimeMs != mServer.mStartTimeMs;
   if (!mAnnounced || !mReachable || unconfirmed) {
     return server_state::Absent;
   }
@@ -268,7 +268,8 @@
   if (IsEvacuated()) {
     return server_state::Evacuated;
   }
-  return aNow < mIllUntil ? server_state::Ill : server_state::Ready;
+  return aNow < mQuarantinedUntil ? server_state::Quarantined
+                                  : server_state::Ready;
 }
 
 instant
@@ -276,17 +277,17 @@
 {
   duration total;
   if (aTask.mPercent >= kFirstForecastPercent) {
-    total = (aTask.mPercentAt - aTask.mOrderedAt) * 100 / aTask.mPercent;
+    total = (aTask.mPercentAt - aTask.mStartSentAt) * 100 / aTask.mPercent;
   } else {
     total = duration(int64_t(aTask.mEstimateMs * Slowness() * 1000));
   }
-  return std::max(aTask.mOrderedAt + total, aNow + kOverdueEnd);
+  return std::max(aTask.mStartSentAt + total, aNow + kOverdueEnd);
 }
 
 instant
-task_executor::ExpectedStart(const task_size& aSize, instant aNow) const
+task_executor::ExpectedStart(const resources& aSize, instant aNow) const
 {
-  std::vector<std::pair<instant, task_size>> ends;
+  std::vector<std::pair<instant, resources>> ends;
   for (const auto& [key, one] : mTasks) {
     if (one.mState != task_state::Queued) {
       ends.emplace_back(ExpectedEnd(one, aNow), one.mSize);
@@ -296,10 +297,10 @@
     ends.begin(), ends.end(), [](const auto& aLeft, const auto& aRight) {
       return aLeft.first < aRight.first;
     });
-  task_size free = mFree;
+  resources free = mFree;
   instant start = aNow;
   size_t next = 0;
-  auto fit = [&](const task_size& aOne) {
+  auto fit = [&](const resources& aOne) {
     while (!aOne.FitsIn(free) && next < ends.size()) {
       start = ends[next].first;
       free += ends[next].second;
@@ -314,14 +315,14 @@
   return start;
 }
 
-task_size
-task_executor::OrdinarySize() const
+resources
+task_executor::MeanTaskSize() const
 {
   size_t running = Running();
   if (running == 0) {
     return {};
   }
-  task_size used = mServer.mCapacity;
+  resources used = mServer.mCapacity;
   used -= mFree;
   auto count = int64_t(running);
   return { used.mCpuMillis / count,
@@ -349,8 +350,8 @@
     }
     at = mQueue.erase(at);
     mFree -= next.mSize;
-    next.mRun = NextRun(next.mKey);
-    OrderStart(next, aNow);
+    next.mRunNumber = NextRunNumber(next.mKey);
+    BeginStart(next, aNow);
   }
 }
 
@@ -372,15 +373,15 @@
     mQueue.erase({ one.mUrgentAt, aKey });
   } else {
     mFree += one.mSize;
-    if (mLastRuns.emplace(aKey, one.mRun).second) {
+    if (mLastRunNumbers.emplace(aKey, one.mRunNumber).second) {
       mLastRunOrder.push_back(aKey);
     } else {
-      mLastRuns[aKey] = one.mRun;
+      mLastRunNumbers[aKey] = one.mRunNumber;
     }
-    if (mLastRunOrder.size() > kRememberedRuns) {
-      size_t half = kRememberedRuns / 2;
+    if (mLastRunOrder.size() > kMaxRunNumbers) {
+      size_t half = kMaxRunNumbers / 2;
       for (size_t i = 0; i < half; i++) {
-        mLastRuns.erase(mLastRunOrder[i]);
+        mLastRunNumbers.erase(mLastRunOrder[i]);
       }
       mLastRunOrder.erase(mLastRunOrder.begin(),
                           mLastRunOrder.begin() + long(half));
@@ -388,8 +389,9 @@
   }
   auto owner = mEntries.find(one.mOwner);
   if (owner != mEntries.end()) {
-    uint32_t runMs =
-      one.mOrderedAt.count() == 0 ? 0 : uint32_t(ToMs(aNow - one.mOrderedAt));
+    uint32_t runMs = one.mStartSentAt.count() == 0
+                       ? 0
+                       : uint32_t(ToMs(aNow - one.mStartSentAt));
     owner->second.mEnds.push_back(EndOf(aKey, one.mAttempt, runMs, aOutcome));
     owner->second.mOpenTasks--;
   }
@@ -412,16 +414,18 @@
   std::set<peer_id> silent;
   for (const auto& [key, one] : mTasks) {
     bool needsOwner = one.mOwner != 0 && !one.mStopping;
-    if (needsOwner && aNow - mEntries.at(one.mOwner).mHeardAt > kOwnerSilence) {
+    if (needsOwner &&
+        aNow - mEntries.at(one.mOwner).mLastHeard > kEntryTimeout) {
       silent.insert(one.mOwner);
     }
   }
   for (peer_id peer : silent) {
-    mEvents.Emit(event_code::PeerSilent,
-                 { { "peer", mEntries[peer].mName },
-                   { "silent_ms",
-                     std::to_string(ToMs(aNow - mEntries[peer].mHeardAt)) } });
-    mLinks.Drop(peer);
+    mEvents.Emit(
+      event_code::PeerSilent,
+      { { "peer", mEntries[peer].mName },
+        { "silent_ms",
+          std::to_string(ToMs(aNow - mEntries[peer].mLastHeard)) } });
+    mLinks.Close(peer);
     OnEntryDown(peer, aNow);
   }
 }
@@ -438,11 +442,11 @@
       continue;
     }
     if (aNow >= one.mStopBy) {
-      OrderStop(one, attempt_outcome::Stopped, aNow);
+      BeginStop(one, attempt_outcome::Stopped, aNow);
     }
     if (one.mStopping && !one.mStopAnswered && aNow >= one.mNextStop) {
       one.mNextStop = aNow + kStopRetry;
-      SendStop(key, one.mRun);
+      SendStop(key, one.mRunNumber);
     }
   }
   for (const task_key& key : unstarted) {
@@ -455,12 +459,12 @@
 {
   DropSilentEntries(aNow);
   ExpireTasks(aNow);
-  CheckRecall(aNow);
+  CheckRestored(aNow);
   NoticeCold(aNow);
-  NoticeLapse(aNow);
-  NoticeSilence(aNow);
-  if (LookIsDue(aNow)) {
-    SendLook(aNow);
+  CheckLeaseExpiry(aNow);
+  CheckServerTimeout(aNow);
+  if (IsPollDue(aNow)) {
+    SendPoll(aNow);
   }
   // Tasks start here alone, because a tick comes once all that has arrived is
   // read. A process that stood still finds an order, its withdrawal and the end
@@ -488,7 +492,7 @@
   }
   said.queued_cpu_millis = uint32_t(queued);
   said.running = uint32_t(Running());
-  said.room_in_ms = uint32_t(ToMs(ExpectedStart(OrdinarySize(), aNow) - aNow));
+  said.room_in_ms = uint32_t(ToMs(ExpectedStart(MeanTaskSize(), aNow) - aNow));
   said.mean_run_ms = uint32_t(mMeanRunMs);
   said.slowness_permille = uint32_t(Slowness() * 1000);
   said.labels = mServer.mLabels;
@@ -510,7 +514,7 @@
   if (!mMechanisms.Has(mechanism::ReportSpacing)) {
     return {};
   }
-  return std::min(kQuietReportInterval,
+  return std::min(kKeepAliveReportInterval,
                   kReportSpacing * int64_t(SubscribedEntries()));
 }
 
@@ -521,12 +525,12 @@
                            instant aNow) const
 {
   bool news = !aEntry.mEnds.empty() || !aEntry.mTooSlow.empty() ||
-              aEntry.mAsked || aEntry.mToldState != aState;
+              aEntry.mReportRequested || aEntry.mReportedState != aState;
   if (news) {
     return true;
   }
   duration since = aNow - aEntry.mReportedAt;
-  if (aEntry.mOpenTasks > 0 && since >= kQuietReportInterval) {
+  if (aEntry.mOpenTasks > 0 && since >= kKeepAliveReportInterval) {
     return true;
   }
   duration interval = aEntry.mChanged ? aSpacing : kIdleReportInterval;
@@ -550,11 +554,11 @@
     entry.mEnds.clear();
     said->too_slow = std::move(entry.mTooSlow);
     entry.mTooSlow.clear();
-    said->last_offer = entry.mLastOffer;
+    said->last_offer = entry.mLastDispatchNumber;
     entry.mReportedAt = aNow;
     entry.mChanged = false;
-    entry.mAsked = false;
-    entry.mToldState = state;
+    entry.mReportRequested = false;
+    entry.mReportedState = state;
     mLinks.Report(peer, *said);
   }
 }
@@ -563,7 +567,7 @@
 task_executor::Drain(instant aNow)
 {
   mDraining = true;
-  ReturnQueued(attempt_outcome::Leaving, aNow);
+  ReturnQueued(attempt_outcome::Draining, aNow);
   MarkChanged();
 }
 
--- a/cactusmast/task_executor_evacuation.cc
+++ b/cactusmast/task_executor_evacuation.cc
@@ -10,11 +10,11 @@
 using namespace detail;
 
 bool
-task_executor::OnEvacuations(const std::optional<evacuation_news>& aSaid,
+task_executor::OnEvacuations(const std::optional<evacuation_update>& aSaid,
                              instant aNow)
 {
   bool before = IsEvacuated();
-  bool news = aSaid && mEvacuations.Offer(*aSaid);
+  bool news = aSaid && mEvacuations.Update(*aSaid);
   if (news) {
     NoteEvacuations(before, aNow);
   }
@@ -36,7 +36,7 @@
   }
   if (IsEvacuated()) {
     // At once, so that entries can still place them elsewhere in time.
-    ReturnQueued(attempt_outcome::Leaving, aNow);
+    ReturnQueued(attempt_outcome::Draining, aNow);
   }
   MarkChanged();
 }
@@ -44,7 +44,7 @@
 bool
 task_executor::WantsEvacuations(instant aNow) const
 {
-  return aNow - mOrderedAt <= kOrderedLately &&
+  return aNow - mLastDispatchAt <= kRecentDispatch &&
          mEvacuations.Age(aNow) > kEvacuationsOldAfter;
 }
 
--- a/cactusmast/task_executor_looks.cc
+++ b/cactusmast/task_executor_polls.cc
@@ -10,94 +10,96 @@
 using namespace detail;
 
 bool
-task_executor::LookIsDue(instant aNow) const
+task_executor::IsPollDue(instant aNow) const
 {
-  bool outstanding = !mLooks.empty() && mLooks.rbegin()->first == mLookNumber;
-  return outstanding ? aNow >= mLookLateAt : aNow >= mNextLook;
+  bool outstanding =
+    !mPendingPolls.empty() && mPendingPolls.rbegin()->first == mLastPollNumber;
+  return outstanding ? aNow >= mPollTimeoutAt : aNow >= mNextPoll;
 }
 
 // A look returns with the next end, so that waits are cut short only to notice
 // an answer that was lost. It is missed most right after an end.
 milliseconds
-task_executor::LookWait(instant aNow) const
+task_executor::PollWait(instant aNow) const
 {
-  bool lost = !mLooks.empty();
+  bool lost = !mPendingPolls.empty();
   if (lost) {
-    return kLookWait;
+    return kMinPollWait;
   }
   if (Running() == 0) {
-    return kIdleLookWait;
+    return kIdlePollWait;
   }
-  instant next = aNow + kLongLookWait;
+  instant next = aNow + kLongPollWait;
   for (const auto& [key, one] : mTasks) {
     if (one.mState != task_state::Queued) {
       next = std::min(next, ExpectedEnd(one, aNow) + kOverdueEnd);
     }
   }
   auto wait = std::chrono::duration_cast<milliseconds>(next - aNow);
-  return std::max(wait, kLookWait);
+  return std::max(wait, kMinPollWait);
 }
 
 void
-task_executor::SendLook(instant aNow)
+task_executor::SendPoll(instant aNow)
 {
-  look_order order;
-  order.mNumber = ++mLookNumber;
-  order.mFence = mFence;
+  poll_request order;
+  order.mNumber = ++mLastPollNumber;
+  order.mFencingToken = mFencingToken;
   order.mLastEndSeen = mLastEndSeen;
   // A backend server that has been silent gets no longer lease: if it runs on
   // unseen, that must have an end. Before its clock is known there is nothing
   // to lease.
-  bool steady = mClockKnown && aNow - mSeenAt < kSilentAfter;
-  order.mLeaseUntilMs = steady ? LeaseUntil(aNow) : 0;
-  order.mWaitMs = steady && !mStrays ? uint32_t(LookWait(aNow).count()) : 0;
-  mLooks[order.mNumber] = aNow;
-  mLookLateAt = aNow + milliseconds(order.mWaitMs) + kLookPatience;
-  mRunner.Look(order);
+  bool steady = mClockKnown && aNow - mLastPollReplyAt < kServerTimeout;
+  order.mLeaseUntilMs = steady ? ExtendLease(aNow) : 0;
+  order.mWaitMs = steady && !mStrays ? uint32_t(PollWait(aNow).count()) : 0;
+  mPendingPolls[order.mNumber] = aNow;
+  mPollTimeoutAt = aNow + milliseconds(order.mWaitMs) + kPollGrace;
+  mRunner.Poll(order);
 }
 
 void
-task_executor::NoticeSilence(instant aNow)
+task_executor::CheckServerTimeout(instant aNow)
 {
-  if (!mReachable || aNow - mSeenAt < kSilentAfter) {
+  if (!mReachable || aNow - mLastPollReplyAt < kServerTimeout) {
     return;
   }
   mReachable = false;
-  mEvents.Emit(event_code::BackendExpired,
-               { { "server", mServer.mId },
-                 { "silent_ms", std::to_string(ToMs(aNow - mSeenAt)) } });
+  mEvents.Emit(
+    event_code::BackendExpired,
+    { { "server", mServer.mId },
+      { "silent_ms", std::to_string(ToMs(aNow - mLastPollReplyAt)) } });
   ReturnQueued(attempt_outcome::Unusable, aNow);
   MarkChanged();
 }
 
 void
-task_executor::OnLookAnswer(uint64_t aNumber,
-                            look_result aResult,
-                            const server_snapshot& aSeen,
-                            instant aNow)
+task_executor::OnPollReply(uint64_t aNumber,
+                           poll_result aResult,
+                           const server_snapshot& aSeen,
+                           instant aNow)
 {
-  auto asked = mLooks.find(aNumber);
-  if (asked == mLooks.end()) {
+  auto asked = mPendingPolls.find(aNumber);
+  if (asked == mPendingPolls.end()) {
     return;
   }
   instant sent = asked->second;
-  mLooks.erase(asked);
-  if (aResult == look_result::FencedOff) {
-    mFence += kFenceStep;
+  mPendingPolls.erase(asked);
+  if (aResult == poll_result::FencedOff) {
+    mFencingToken += kFencingTokenStep;
   }
-  if (aResult != look_result::Seen) {
-    mNextLook = aNow + kLookRetry;
+  if (aResult != poll_result::Ok) {
+    mNextPoll = aNow + kPollRetryInterval;
     return;
   }
   // Answers may overtake each other; an older one says nothing new.
-  if (aNumber < mNewestSeen) {
+  if (aNumber < mNewestPollReply) {
     return;
   }
-  mNewestSeen = aNumber;
-  mSeenAt = aNow;
-  mNextLook = mStrays ? aNow + kStrayLookInterval : aNow;
+  mNewestPollReply = aNumber;
+  mLastPollReplyAt = aNow;
+  mNextPoll = mStrays ? aNow + kStrayPollInterval : aNow;
   mClockOffsetMs = aSeen.mClockMs - ToMs(aNow);
-  NoticeBoot(aSeen.mBornMs, aNow);
+  CheckIncarnation(aSeen.mStartTimeMs, aNow);
   mClockKnown = true;
   if (!mReachable) {
     mReachable = true;
@@ -113,7 +115,8 @@
   for (const ended_task& end : aSeen.mEnded) {
     mLastEndSeen = std::max(mLastEndSeen, end.mNumber);
     auto found = mTasks.find(end.mTask);
-    bool ours = found != mTasks.end() && found->second.mRun == end.mRun &&
+    bool ours = found != mTasks.end() &&
+                found->second.mRunNumber == end.mRunNumber &&
                 found->second.mState != task_state::Queued;
     if (!ours) {
       continue;
@@ -132,7 +135,7 @@
       default:
         break;
     }
-    Learn(found->second, outcome, aNow);
+    UpdateEstimates(found->second, outcome, aNow);
     End(end.mTask, outcome, aNow);
   }
 }
@@ -146,7 +149,8 @@
   std::set<task_key> listed;
   for (const running_task& run : aSeen.mRunning) {
     auto found = mTasks.find(run.mTask);
-    bool ours = found != mTasks.end() && found->second.mRun == run.mRun &&
+    bool ours = found != mTasks.end() &&
+                found->second.mRunNumber == run.mRunNumber &&
                 found->second.mState != task_state::Queued;
     if (ours) {
       found->second.mSeenRunning = true;
@@ -159,10 +163,10 @@
     instant& next = mStrayStops[run.mTask];
     if (next <= aNow) {
       next = aNow + kStopRetry;
-      SendStop(run.mTask, run.mRun);
+      SendStop(run.mTask, run.mRunNumber);
       mEvents.Emit(event_code::StrayStopped,
-                   { { "task", JobText(run.mTask.mJob) },
-                     { "run", std::to_string(run.mRun) } });
+                   { { "task", FormatJobId(run.mTask.mJob) },
+                     { "run", std::to_string(run.mRunNumber) } });
     }
   }
   if (!strays) {
@@ -175,7 +179,7 @@
   std::vector<task_key> gone;
   for (const auto& [key, one] : mTasks) {
     bool settled = one.mState != task_state::Queued &&
-                   one.mSettledAt.count() != 0 && one.mSettledAt < aSent;
+                   one.mConfirmedAt.count() != 0 && one.mConfirmedAt < aSent;
     if (settled && listed.count(key) == 0) {
       gone.push_back(key);
     }
@@ -191,18 +195,18 @@
 void
 task_executor::NoticeProgress(task& aTask, uint32_t aPercent, instant aNow)
 {
-  duration ran = aNow - aTask.mOrderedAt;
+  duration ran = aNow - aTask.mStartSentAt;
   aTask.mPercent = aPercent;
   aTask.mPercentAt = aNow;
   bool early = ran < kFirstForecastAfter || aPercent < kFirstForecastPercent;
-  if (early || aTask.mToldSlow || aTask.mStopping) {
+  if (early || aTask.mSlowReported || aTask.mStopping) {
     return;
   }
   duration total = ran * 100 / aPercent;
-  if (aTask.mOrderedAt + total <= aTask.mStopBy) {
+  if (aTask.mStartSentAt + total <= aTask.mStopBy) {
     return;
   }
-  aTask.mToldSlow = true;
+  aTask.mSlowReported = true;
   auto owner = mEntries.find(aTask.mOwner);
   if (owner == mEntries.end()) {
     return;
@@ -217,13 +221,13 @@
 }
 
 void
-task_executor::NoticeBoot(int64_t aBornMs, instant aNow)
+task_executor::CheckIncarnation(int64_t aBornMs, instant aNow)
 {
-  if (aBornMs == 0 || aBornMs == mBornMs) {
+  if (aBornMs == 0 || aBornMs == mServerStartTimeMs) {
     return;
   }
-  bool first = mBornMs == 0;
-  mBornMs = aBornMs;
+  bool first = mServerStartTimeMs == 0;
+  mServerStartTimeMs = aBornMs;
   mLastEndSeen = 0;
   if (first) {
     return;
@@ -232,14 +236,14 @@
   mEvents.Emit(
     event_code::BackendReborn,
     { { "server", mServer.mId }, { "lost", std::to_string(Running()) } });
-  EndAllOrdered(attempt_outcome::Lost, aNow);
+  EndAllStarted(attempt_outcome::Lost, aNow);
   mFailuresInRow = 0;
-  mIllUntil = instant(0);
+  mQuarantinedUntil = instant(0);
   mSpeed = speed_estimate();
 }
 
 void
-task_executor::EndAllOrdered(attempt_outcome aOutcome, instant aNow)
+task_executor::EndAllStarted(attempt_outcome aOutcome, instant aNow)
 {
   std::vector<task_key> ordered;
   for (const auto& [key, one] : mTasks) {
@@ -253,14 +257,14 @@
 }
 
 bool
-task_executor::NoteFailure(instant aNow)
+task_executor::RecordFailure(instant aNow)
 {
   mFailuresInRow++;
-  if (mFailuresInRow < kFailuresToIll ||
+  if (mFailuresInRow < kQuarantineAfterFailures ||
       !mMechanisms.Has(mechanism::IllnessNoticed)) {
     return false;
   }
-  mIllUntil = aNow + kIllTime;
+  mQuarantinedUntil = aNow + kQuarantineTime;
   mEvents.Emit(event_code::WorkerSetAside,
                { { "server", mServer.mId },
                  { "failures_in_row", std::to_string(mFailuresInRow) } });
@@ -268,10 +272,12 @@
 }
 
 void
-task_executor::Learn(const task& aTask, attempt_outcome aOutcome, instant aNow)
+task_executor::UpdateEstimates(const task& aTask,
+                               attempt_outcome aOutcome,
+                               instant aNow)
 {
   if (aOutcome == attempt_outcome::Failed) {
-    if (NoteFailure(aNow)) {
+    if (RecordFailure(aNow)) {
       ReturnQueued(attempt_outcome::Unusable, aNow);
     }
     return;
@@ -280,14 +286,14 @@
     return;
   }
   mFailuresInRow = 0;
-  auto ranMs = double(ToMs(aNow - aTask.mOrderedAt));
+  auto ranMs = double(ToMs(aNow - aTask.mStartSentAt));
   mMeanRunMs = mMeanRunMs == 0
                  ? ranMs
                  : kLearnDecay * mMeanRunMs + (1 - kLearnDecay) * ranMs;
   // Entries forecast run times from this speed; against their forecasts it
   // would drift together with them.
-  bool startedCold = aTask.mOrderedAt < mColdUntil;
-  (startedCold ? mColdSpeed : mSpeed).Learn(ranMs, double(aTask.mDeclaredMs));
+  bool startedCold = aTask.mStartSentAt < mColdUntil;
+  (startedCold ? mColdSpeed : mSpeed).Observe(ranMs, double(aTask.mDeclaredMs));
 }
 
 double
@@ -322,10 +328,10 @@
 // Every lease that was asked for is over and the backend server has not
 // answered since: whatever it ran has ended by its own clock.
 void
-task_executor::NoticeLapse(instant aNow)
+task_executor::CheckLeaseExpiry(instant aNow)
 {
   if (!mReachable && aNow > mLeaseEnd && Running() > 0) {
-    EndAllOrdered(attempt_outcome::Lost, aNow);
+    EndAllStarted(attempt_outcome::Lost, aNow);
   }
 }
 
--- a/cactusmast/task_executor_recall.cc
+++ b/cactusmast/task_executor_restore.cc
@@ -9,53 +9,55 @@
 using namespace detail;
 
 void
-task_executor::OnRecalled(const server_announcement& aServer, instant aNow)
+task_executor::OnServerRestored(const server_announcement& aServer,
+                                instant aNow)
 {
-  bool otherLife = mBornMs != 0 && mBornMs != aServer.mBornMs;
+  bool otherLife =
+    mServerStartTimeMs != 0 && mServerStartTimeMs != aServer.mStartTimeMs;
   bool used = mMechanisms.Has(mechanism::ServerRecall);
-  if (!used || mAnnounced || aServer.mBornMs == 0 || otherLife) {
+  if (!used || mAnnounced || aServer.mStartTimeMs == 0 || otherLife) {
     return;
   }
-  Adopt(aServer);
+  SetServer(aServer);
   mServer.mSequence = 0; // any announcement is newer
-  mRecallEnd = aNow + kRecallTime;
+  mRestoredUntil = aNow + kRestoredLifetime;
   mEvents.Emit(event_code::BackendRecalled,
                { { "server", aServer.mId },
-                 { "born_ms", std::to_string(aServer.mBornMs) },
+                 { "born_ms", std::to_string(aServer.mStartTimeMs) },
                  { "cpu_millis", std::to_string(aServer.mCapacity.mCpuMillis) },
                  { "outcome", "used" } });
   MarkChanged();
 }
 
 const server_announcement*
-task_executor::Announced() const
+task_executor::Announcement() const
 {
-  return mAnnounced && !IsRecalled() ? &mServer : nullptr;
+  return mAnnounced && !IsRestored() ? &mServer : nullptr;
 }
 
 // Another life may be of another size, or of another service: tasks sized for
 // the recalled one could overload it.
 void
-task_executor::CheckRecall(instant aNow)
+task_executor::CheckRestored(instant aNow)
 {
-  if (!IsRecalled()) {
+  if (!IsRestored()) {
     return;
   }
-  if (mBornMs != 0 && mBornMs != mServer.mBornMs) {
-    ForgetRecalled("another life", aNow);
-  } else if (aNow >= mRecallEnd) {
-    ForgetRecalled("no announcement followed", aNow);
+  if (mServerStartTimeMs != 0 && mServerStartTimeMs != mServer.mStartTimeMs) {
+    DropRestored("another life", aNow);
+  } else if (aNow >= mRestoredUntil) {
+    DropRestored("no announcement followed", aNow);
   }
 }
 
 void
-task_executor::ForgetRecalled(const std::string& aReason, instant aNow)
+task_executor::DropRestored(const std::string& aReason, instant aNow)
 {
   mEvents.Emit(event_code::BackendRecalled,
                { { "server", mServer.mId }, { "outcome", aReason } });
-  mRecallEnd = instant(0);
+  mRestoredUntil = instant(0);
   mAnnounced = false;
-  mRunner.Expect("");
+  mRunner.ExpectInstance("");
   ReturnQueued(attempt_outcome::Unusable, aNow);
   MarkChanged();
 }
--- a/cactusmast/task_executor_orders.cc
+++ b/cactusmast/task_executor_starts.cc
@@ -10,36 +10,36 @@
 using namespace detail;
 
 uint32_t
-task_executor::NextRun(const task_key& aKey)
+task_executor::NextRunNumber(const task_key& aKey)
 {
-  auto found = mLastRuns.find(aKey);
-  return found == mLastRuns.end() ? 1 : found->second + 1;
+  auto found = mLastRunNumbers.find(aKey);
+  return found == mLastRunNumbers.end() ? 1 : found->second + 1;
 }
 
 int64_t
-task_executor::LeaseUntil(instant aNow)
+task_executor::ExtendLease(instant aNow)
 {
-  mLeaseEnd = std::max(mLeaseEnd, aNow + kLeaseTime + kLeaseSlack);
+  mLeaseEnd = std::max(mLeaseEnd, aNow + kLeaseTime + kLeaseMargin);
   return ToMs(aNow) + mClockOffsetMs + kLeaseTime.count();
 }
 
 void
-task_executor::OrderStart(task& aTask, instant aNow)
+task_executor::BeginStart(task& aTask, instant aNow)
 {
   aTask.mState = task_state::Starting;
-  aTask.mOrderedAt = aNow;
+  aTask.mStartSentAt = aNow;
   SendStart(aTask, aNow);
 }
 
 void
 task_executor::SendStart(const task& aTask, instant aNow)
 {
-  start_order order;
+  start_request order;
   order.mTask = aTask.mKey;
-  order.mRun = aTask.mRun;
+  order.mRunNumber = aTask.mRunNumber;
   order.mSpec = *aTask.mSpec;
-  order.mLeaseUntilMs = LeaseUntil(aNow);
-  order.mFence = mFence;
+  order.mLeaseUntilMs = ExtendLease(aNow);
+  order.mFencingToken = mFencingToken;
   mRunner.Start(order);
 }
 
@@ -47,14 +47,14 @@
 task_executor::RetryStart(task& aTask, instant aNow)
 {
   if (IsEvacuated()) {
-    GiveUpStart(aTask, attempt_outcome::Leaving, aNow);
+    GiveUpStart(aTask, attempt_outcome::Draining, aNow);
     return;
   }
   if (aTask.mStopping || ++aTask.mRetries > kMaxStartRetries) {
     GiveUpStart(aTask, attempt_outcome::Unusable, aNow);
     return;
   }
-  OrderStart(aTask, aNow);
+  BeginStart(aTask, aNow);
 }
 
 // What the last order got says nothing of an earlier one that got no answer:
@@ -64,29 +64,29 @@
 void
 task_executor::GiveUpStart(task& aTask, attempt_outcome aWhy, instant aNow)
 {
-  if (aTask.mRepeats == 0) {
+  if (aTask.mResends == 0) {
     End(aTask.mKey, aWhy, aNow);
     return;
   }
-  aTask.mState = task_state::Unsettled;
-  OrderStop(aTask, attempt_outcome::Lost, aNow);
+  aTask.mState = task_state::InDoubt;
+  BeginStop(aTask, attempt_outcome::Lost, aNow);
 }
 
 void
-task_executor::OnStartAnswer(const task_key& aTask,
-                             uint32_t aRun,
-                             start_result aResult,
-                             int64_t aClockMs,
-                             instant aNow)
+task_executor::OnStartReply(const task_key& aTask,
+                            uint32_t aRun,
+                            start_result aResult,
+                            int64_t aClockMs,
+                            instant aNow)
 {
   if (aClockMs > 0) {
     mClockOffsetMs = aClockMs - ToMs(aNow);
     mClockKnown = true;
   }
   auto found = mTasks.find(aTask);
-  bool current = found != mTasks.end() && found->second.mRun == aRun &&
+  bool current = found != mTasks.end() && found->second.mRunNumber == aRun &&
                  (found->second.mState == task_state::Starting ||
-                  found->second.mState == task_state::Unsettled);
+                  found->second.mState == task_state::InDoubt);
   if (!current) {
     return;
   }
@@ -94,41 +94,42 @@
   if (aResult != start_result::Started) {
     mEvents.Emit(
       event_code::StartNotMade,
-      { { "task", JobText(aTask.mJob) + "." + std::to_string(aTask.mIndex) },
+      { { "task",
+          FormatJobId(aTask.mJob) + "." + std::to_string(aTask.mIndex) },
         { "run", std::to_string(aRun) },
         { "result", std::string(Name(aResult)) },
-        { "unanswered_before", std::to_string(one.mRepeats) } });
+        { "unanswered_before", std::to_string(one.mResends) } });
   }
   switch (aResult) {
     case start_result::Started:
       one.mState = task_state::Running;
-      one.mSettledAt = aNow;
+      one.mConfirmedAt = aNow;
       return;
     case start_result::LeaseOver:
       RetryStart(one, aNow);
       return;
     case start_result::OldRun:
-      if (one.mRepeats > 0) {
+      if (one.mResends > 0) {
         // The unanswered order was carried out and has ended; the next look
         // says how.
         one.mState = task_state::Running;
-        one.mSettledAt = aNow;
+        one.mConfirmedAt = aNow;
         return;
       }
-      one.mRun = one.mRun * 2 + 1;
+      one.mRunNumber = one.mRunNumber * 2 + 1;
       RetryStart(one, aNow);
       return;
     case start_result::FencedOff:
-      mFence += kFenceStep;
+      mFencingToken += kFencingTokenStep;
       RetryStart(one, aNow);
       return;
     case start_result::NoRoom:
       GiveUpStart(one, attempt_outcome::NoRoom, aNow);
       return;
     case start_result::Unhealthy:
-    case start_result::OtherBoot:
+    case start_result::OtherIncarnation:
     case start_result::Unreachable:
-      NoteFailure(aNow);
+      RecordFailure(aNow);
       GiveUpStart(one, attempt_outcome::Unusable, aNow);
       return;
     case start_result::Malformed:
@@ -140,20 +141,20 @@
   }
   if (one.mSeenRunning) {
     one.mState = task_state::Running;
-    one.mSettledAt = aNow;
+    one.mConfirmedAt = aNow;
     return;
   }
   bool repeats = !one.mStopping && mReachable && !IsEvacuated();
-  if (repeats && ++one.mRepeats <= kMaxRepeats) {
+  if (repeats && ++one.mResends <= kMaxStartResends) {
     SendStart(one, aNow);
     return;
   }
-  one.mRepeats++;
+  one.mResends++;
   GiveUpStart(one, attempt_outcome::Lost, aNow);
 }
 
 void
-task_executor::OrderStop(task& aTask, attempt_outcome aOutcome, instant aNow)
+task_executor::BeginStop(task& aTask, attempt_outcome aOutcome, instant aNow)
 {
   if (aTask.mStopping) {
     return;
@@ -161,32 +162,32 @@
   aTask.mStopping = true;
   aTask.mStopOutcome = aOutcome;
   aTask.mNextStop = aNow + kStopRetry;
-  SendStop(aTask.mKey, aTask.mRun);
+  SendStop(aTask.mKey, aTask.mRunNumber);
 }
 
 void
 task_executor::SendStop(const task_key& aTask, uint32_t aRun)
 {
-  stop_order order;
+  stop_request order;
   order.mTask = aTask;
-  order.mRun = aRun;
-  order.mFence = mFence;
+  order.mRunNumber = aRun;
+  order.mFencingToken = mFencingToken;
   mRunner.Stop(order);
 }
 
 void
-task_executor::OnStopAnswer(const task_key& aTask,
-                            uint32_t aRun,
-                            bool aAnswered,
-                            instant aNow)
+task_executor::OnStopReply(const task_key& aTask,
+                           uint32_t aRun,
+                           bool aAnswered,
+                           instant aNow)
 {
   auto found = mTasks.find(aTask);
-  if (!aAnswered || found == mTasks.end() || found->second.mRun != aRun) {
+  if (!aAnswered || found == mTasks.end() || found->second.mRunNumber != aRun) {
     return;
   }
   found->second.mStopAnswered = true;
-  found->second.mSettledAt = aNow;
-  mNextLook = aNow;
+  found->second.mConfirmedAt = aNow;
+  mNextPoll = aNow;
 }
 
 } // namespace cactusmast
--- a/cactusmast/task_queue.cc
+++ b/cactusmast/task_queue.cc
@@ -27,7 +27,7 @@
   }
   team_row& owner = mTeams[aTeam];
   if (owner.mQueued == 0) {
-    owner.mTime = std::max(owner.mTime, mNow);
+    owner.mVirtualTime = std::max(owner.mVirtualTime, mVirtualNow);
   }
   return mJobs.try_emplace(aJob, job_row{ aLane, aTeam, 0, aNow, false })
     .first->second;
@@ -152,7 +152,7 @@
   job_row& row = mJobs[*aJob];
   row.mListed = false;
   row.mQueued--;
-  mNow = std::max(mNow, mTeams[aTeam].mTime);
+  mVirtualNow = std::max(mVirtualNow, mTeams[aTeam].mVirtualTime);
   if (row.mQueued > 0) {
     List(*aJob, row, false);
     Subtract(row, 1);
@@ -167,7 +167,7 @@
 void
 task_queue::Charge(uint32_t aTeam, double aSeconds)
 {
-  mTeams[aTeam].mTime += aSeconds / mTeams[aTeam].mQuota;
+  mTeams[aTeam].mVirtualTime += aSeconds / mTeams[aTeam].mQuota;
 }
 
 void
--- a/cactusmast/task_queue.h
+++ b/cactusmast/task_queue.h
@@ -56,7 +56,10 @@
 
   // Advances the team's virtual time, or moves it back.
   void Charge(uint32_t aTeam, double aSeconds);
-  double Time(uint32_t aTeam) const { return mTeams[aTeam].mTime; }
+  double VirtualTime(uint32_t aTeam) const
+  {
+    return mTeams[aTeam].mVirtualTime;
+  }
 
   // A group with queued work.
   struct group
@@ -108,7 +111,7 @@
   struct team_row
   {
     uint32_t mQuota = 1;
-    double mTime = 0;
+    double mVirtualTime = 0;
     uint32_t mQueued = 0;
   };
 
@@ -126,7 +129,7 @@
   std::vector<team_row> mTeams;
   std::unordered_map<job_handle, job_row> mJobs;
   uint32_t mTotal = 0;
-  double mNow = 0; // virtual time of the latest start
+  double mVirtualNow = 0; // virtual time of the latest start
 };
 
 } // namespace cactusmast
--- a/cactusmast/testing/evacuation_test.cc
+++ b/cactusmast/testing/evacuation_test.cc
@@ -29,7 +29,7 @@
 // One reader of the store's rows.
 struct reader
 {
-  std::string Apply(const std::vector<watched_row>& aRows,
+  std::string Apply(const std::vector<store_row>& aRows,
                     uint64_t aVersion,
                     bool aWhole)
   {
@@ -38,10 +38,10 @@
 
   plain_codec mCodec;
   silent_events mEvents;
-  evacuation_rows mRows{ mCodec, mEvents };
+  evacuation_reader mRows{ mCodec, mEvents };
 };
 
-watched_row
+store_row
 Row(const std::string& aKey, const std::string& aValue = "{}")
 {
   return { aKey, aValue, false, "" };
@@ -110,31 +110,31 @@
 {
   // Guards against an entry that was cut off from the store and tells what held
   // before.
-  evacuation_record record;
-  CHECK(record.Offer({ { 10, { "a" } }, seconds(10) }));
-  CHECK(record.Offer({ { 12, {} }, seconds(12) }));
-  CHECK(!record.Offer({ { 11, { "a" } }, seconds(13) }));
+  evacuation_tracker record;
+  CHECK(record.Update({ { 10, { "a" } }, seconds(10) }));
+  CHECK(record.Update({ { 12, {} }, seconds(12) }));
+  CHECK(!record.Update({ { 11, { "a" } }, seconds(13) }));
   CHECK(!record.Has("a"));
   CHECK(record.Age(seconds(14)) == seconds(2));
-  CHECK(!record.Offer({ { 12, {} }, seconds(13) }));
+  CHECK(!record.Update({ { 12, {} }, seconds(13) }));
   CHECK(record.Age(seconds(14)) == seconds(1));
 }
 
 TEST_CASE("a message says what its sender knows and how old that is")
 {
-  evacuation_record sender;
+  evacuation_tracker sender;
   CHECK(EncodeEvacuations(sender, seconds(1)) == nullptr);
-  sender.Offer({ { 10, { "a", "b" } }, seconds(10) });
+  sender.Update({ { 10, { "a", "b" } }, seconds(10) });
   std::string frame;
   wire::entry_pulse_msg pulse;
   pulse.evacuating = EncodeEvacuations(sender, seconds(13));
   EncodeFrame(MakeMessage(std::move(pulse)), &frame);
   message read = std::move(DecodeFrame(frame, "entry").Value());
-  evacuation_record receiver;
+  evacuation_tracker receiver;
   auto news =
     DecodeEvacuations(read.Asentry_pulse()->evacuating.get(), seconds(20));
   REQUIRE(news);
-  CHECK(receiver.Offer(*news));
+  CHECK(receiver.Update(*news));
   CHECK(NamesOf(receiver.State()) == "a,b");
   CHECK(receiver.Age(seconds(20)) == seconds(3));
   CHECK(!DecodeEvacuations(nullptr, seconds(21)));
@@ -164,7 +164,7 @@
   world.Run(milliseconds(5));
   CHECK(world.Executor(0).Queued() > 0);
   world.Coordinator(0).OnEvacuations(
-    evacuation_news{ { 2, { "a" } }, world.Now() }, world.Now());
+    evacuation_update{ { 2, { "a" } }, world.Now() }, world.Now());
   world.Run(seconds(2));
   CHECK(world.LastOf(queued).mEnding == job_ending::Completed);
   CHECK(world.LastOf(queued).mAnsweredAt - world.LastOf(queued).mSentAt <=
--- a/cactusmast/testing/executor_subset_test.cc
+++ b/cactusmast/testing/executor_subset_test.cc
@@ -61,7 +61,7 @@
   executor_subset subset = MakeSubset("entry", 160, 8);
   subset.Update();
   std::set<peer_id> members = Members(subset, 160);
-  CHECK(members.size() == kLeastSubset);
+  CHECK(members.size() == kMinSubsetSize);
   for (peer_id near = 8; near <= 160; near += 8) {
     CHECK(members.count(near) == 1);
   }
@@ -82,7 +82,7 @@
   }
   CHECK(uses.size() == kExecutors);
   for (const auto& [peer, count] : uses) {
-    CHECK(count <= 3 * kEntries * kLeastSubset / kExecutors);
+    CHECK(count <= 3 * kEntries * kMinSubsetSize / kExecutors);
   }
 }
 
@@ -95,7 +95,7 @@
   executor_subset::change change = subset.Update();
   CHECK(change.mJoined.size() == 1);
   CHECK(change.mLeft.empty());
-  CHECK(Members(subset, 100).size() == kLeastSubset);
+  CHECK(Members(subset, 100).size() == kMinSubsetSize);
 }
 
 TEST_CASE("a member that cannot take tasks makes room for another")
@@ -116,24 +116,24 @@
   subset.Update();
   for (int i = 0; i < 100; i++) {
     now += milliseconds(20);
-    subset.NoteRoom(kLittleRoom, false, now);
+    subset.AdjustSize(kLittleRoom, false, now);
     subset.Update();
   }
-  CHECK(Members(subset, 500).size() == kMostSubset);
+  CHECK(Members(subset, 500).size() == kMaxSubsetSize);
 }
 
 TEST_CASE("a subset that is still being filled is not widened for want of room")
 {
   executor_subset subset = MakeSubset("entry", 0, 1);
   instant now = seconds(1);
-  for (peer_id peer = 1; peer < kLeastSubset; peer++) {
+  for (peer_id peer = 1; peer < kMinSubsetSize; peer++) {
     subset.Add(peer, ExecutorName(peer), "dc-0");
     subset.SetUsable(peer, true);
     subset.Update();
     now += milliseconds(20);
-    CHECK(!subset.NoteRoom(0, true, now));
+    CHECK(!subset.AdjustSize(0, true, now));
   }
-  CHECK(subset.Size() == kLeastSubset);
+  CHECK(subset.Size() == kMinSubsetSize);
 }
 
 TEST_CASE("a subset is narrowed only after seconds of plenty")
@@ -141,15 +141,15 @@
   executor_subset subset = MakeSubset("entry", 500, 1);
   subset.Update();
   instant now = seconds(1);
-  subset.NoteRoom(kLittleRoom, false, now);
+  subset.AdjustSize(kLittleRoom, false, now);
   size_t wide = subset.Size();
-  CHECK(wide > kLeastSubset);
-  subset.NoteRoom(kMuchRoom, false, now + seconds(2));
+  CHECK(wide > kMinSubsetSize);
+  subset.AdjustSize(kMuchRoom, false, now + seconds(2));
   CHECK(subset.Size() == wide);
   for (int i = 0; i < 60; i++) {
-    subset.NoteRoom(kMuchRoom, false, now + seconds(6 + i));
+    subset.AdjustSize(kMuchRoom, false, now + seconds(6 + i));
   }
-  CHECK(subset.Size() == kLeastSubset);
+  CHECK(subset.Size() == kMinSubsetSize);
 }
 
 TEST_CASE("random changes: members are the first usable ones in the order")
@@ -178,7 +178,7 @@
     }
     std::set<peer_id> members = Members(subset, kExecutors);
     REQUIRE(told == members);
-    REQUIRE(members.size() == std::min(usable.size(), kLeastSubset));
+    REQUIRE(members.size() == std::min(usable.size(), kMinSubsetSize));
     REQUIRE(std::includes(
       usable.begin(), usable.end(), members.begin(), members.end()));
   }
--- a/cactusmast/testing/fake_server.cc
+++ b/cactusmast/testing/fake_server.cc
@@ -42,19 +42,19 @@
 }
 
 start_result
-fake_server::CarryOut(const start_order& aOrder)
+fake_server::CarryOut(const start_request& aOrder)
 {
-  if (aOrder.mFence < mFence) {
+  if (aOrder.mFencingToken < mFence) {
     return start_result::FencedOff;
   }
-  mFence = aOrder.mFence;
+  mFence = aOrder.mFencingToken;
   auto running = mRunning.find(aOrder.mTask);
-  if (running != mRunning.end() && running->second.mRun == aOrder.mRun) {
+  if (running != mRunning.end() && running->second.mRun == aOrder.mRunNumber) {
     return start_result::Started;
   }
   auto last = mLastRun.find(aOrder.mTask);
   if (running != mRunning.end() ||
-      (last != mLastRun.end() && aOrder.mRun <= last->second)) {
+      (last != mLastRun.end() && aOrder.mRunNumber <= last->second)) {
     return start_result::OldRun;
   }
   if (aOrder.mLeaseUntilMs <= ClockMs()) {
@@ -62,7 +62,7 @@
   }
   mLeaseUntilMs = std::max(mLeaseUntilMs, aOrder.mLeaseUntilMs);
   run& started = mRunning[aOrder.mTask];
-  started.mRun = aOrder.mRun;
+  started.mRun = aOrder.mRunNumber;
   started.mSince = mWorld.Now();
   started.mAdvancedAt = mWorld.Now();
   started.mWorkMs = std::stod(aOrder.mSpec);
@@ -73,13 +73,13 @@
 }
 
 void
-fake_server::Start(const start_order& aOrder)
+fake_server::Start(const start_request& aOrder)
 {
   auto answer = [this, aOrder](start_result aResult) {
     After(kWay, [this, aOrder, aResult] {
       mWorld.Deliver(true, mIndex, [this, aOrder, aResult] {
-        mWorld.Executor(mIndex).OnStartAnswer(
-          aOrder.mTask, aOrder.mRun, aResult, ClockMs(), mWorld.Now());
+        mWorld.Executor(mIndex).OnStartReply(
+          aOrder.mTask, aOrder.mRunNumber, aResult, ClockMs(), mWorld.Now());
       });
     });
   };
@@ -99,24 +99,24 @@
 }
 
 void
-fake_server::CarryOut(const stop_order& aOrder)
+fake_server::CarryOut(const stop_request& aOrder)
 {
   auto running = mRunning.find(aOrder.mTask);
-  if (running != mRunning.end() && running->second.mRun <= aOrder.mRun) {
+  if (running != mRunning.end() && running->second.mRun <= aOrder.mRunNumber) {
     End(aOrder.mTask, end_kind::Stopped);
   }
   uint32_t& last = mLastRun[aOrder.mTask];
-  last = std::max(last, aOrder.mRun);
+  last = std::max(last, aOrder.mRunNumber);
 }
 
 void
-fake_server::Stop(const stop_order& aOrder)
+fake_server::Stop(const stop_request& aOrder)
 {
   auto answer = [this, aOrder](bool aAnswered) {
     After(kWay, [this, aOrder, aAnswered] {
       mWorld.Deliver(true, mIndex, [this, aOrder, aAnswered] {
-        mWorld.Executor(mIndex).OnStopAnswer(
-          aOrder.mTask, aOrder.mRun, aAnswered, mWorld.Now());
+        mWorld.Executor(mIndex).OnStopReply(
+          aOrder.mTask, aOrder.mRunNumber, aAnswered, mWorld.Now());
       });
     });
   };
@@ -129,7 +129,7 @@
 }
 
 server_snapshot
-fake_server::CarryOut(const look_order& aOrder)
+fake_server::CarryOut(const poll_request& aOrder)
 {
   if (aOrder.mLeaseUntilMs > 0) {
     mLeaseUntilMs = std::max(mLeaseUntilMs, aOrder.mLeaseUntilMs);
@@ -139,11 +139,11 @@
   }
   server_snapshot seen;
   seen.mClockMs = ClockMs();
-  seen.mBornMs = mBornMs;
+  seen.mStartTimeMs = mBornMs;
   for (const auto& [key, one] : mRunning) {
     running_task row;
     row.mTask = key;
-    row.mRun = one.mRun;
+    row.mRunNumber = one.mRun;
     row.mPercent = uint32_t(std::min(99.0, 100 * one.mDoneMs / one.mWorkMs));
     seen.mRunning.push_back(row);
   }
@@ -152,32 +152,32 @@
 }
 
 void
-fake_server::Look(const look_order& aOrder)
+fake_server::Poll(const poll_request& aOrder)
 {
-  auto answer = [this, aOrder](look_result aResult,
+  auto answer = [this, aOrder](poll_result aResult,
                                const server_snapshot& aSeen) {
     After(kWay, [this, aOrder, aResult, aSeen] {
       mWorld.Deliver(true, mIndex, [this, aOrder, aResult, aSeen] {
-        mWorld.Executor(mIndex).OnLookAnswer(
+        mWorld.Executor(mIndex).OnPollReply(
           aOrder.mNumber, aResult, aSeen, mWorld.Now());
       });
     });
   };
   if (Unanswered()) {
     After(milliseconds(aOrder.mWaitMs) + kOrderTimeout,
-          [answer] { answer(look_result::NoAnswer, {}); });
+          [answer] { answer(poll_result::NoAnswer, {}); });
     return;
   }
   server_snapshot now = CarryOut(aOrder);
   if (!now.mEnded.empty() || aOrder.mWaitMs == 0) {
-    answer(look_result::Seen, now);
+    answer(poll_result::Ok, now);
     return;
   }
   // Answered at the next end or after the wait, whichever comes first.
   uint64_t number = aOrder.mNumber;
   auto finish = [this, aOrder, answer] {
     if (!mDown) {
-      answer(look_result::Seen, CarryOut(aOrder));
+      answer(poll_result::Ok, CarryOut(aOrder));
     }
   };
   mWaitingLooks.emplace_back(number, finish);
@@ -200,10 +200,10 @@
   ended_task end;
   end.mNumber = ++mEnds;
   end.mTask = aTask;
-  end.mRun = found->second.mRun;
+  end.mRunNumber = found->second.mRun;
   end.mHow = aHow;
   mEnded.push_back(end);
-  mLastRun[aTask] = end.mRun;
+  mLastRun[aTask] = end.mRunNumber;
   mRunning.erase(found);
   mWorld.NoteEnd(aTask, aHow);
   mWorld.mRunningAt[aTask].erase(mIndex);
@@ -269,7 +269,7 @@
   server_announcement said;
   said.mId = "s" + std::to_string(mIndex) + "-" + std::to_string(mBornMs);
   said.mService = "service";
-  said.mBornMs = mBornMs;
+  said.mStartTimeMs = mBornMs;
   said.mSequence = ++mSequence;
   said.mDraining = mDraining;
   said.mCapacity = mCapacity;
--- a/cactusmast/testing/instance_parts_test.cc
+++ b/cactusmast/testing/instance_parts_test.cc
@@ -22,7 +22,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class fake_store : public watched_store
+class fake_store : public metadata_store
 {
 public:
   void ReadPart(const std::string&, const std::string&, callback aDone) override
@@ -39,11 +39,11 @@
     mWatches++;
     mDone = std::move(aDone);
   }
-  void PutRow(const std::string&, const watched_row&, callback) override {}
+  void PutRow(const std::string&, const store_row&, callback) override {}
 
-  void Answer(watch_status aStatus, uint64_t aVersion, const std::string& aKey)
+  void Answer(store_status aStatus, uint64_t aVersion, const std::string& aKey)
   {
-    watch_answer answer;
+    store_reply answer;
     answer.mStatus = aStatus;
     answer.mVersion = aVersion;
     if (!aKey.empty()) {
@@ -87,7 +87,7 @@
   view.mFree = { aFreeMillis, 100000, 0 };
   view.mSlowness = aSlowness;
   view.mMeanRunMs = 300;
-  view.mRoomInMs = 100;
+  view.mStartDelayMs = 100;
   return view;
 }
 
@@ -96,7 +96,7 @@
 {
   placement_request request;
   request.mStep = &aStep;
-  request.mEstimateMs = aStep.mEstimateMs;
+  request.mEstimateMs = aStep.mDeclaredMs;
   request.mEstimateSigma = kDeclaredSigma;
   request.mService = "s";
   request.mDataCenter = "a";
@@ -112,7 +112,7 @@
   job_step step;
   step.mCount = 1;
   step.mSize = { 3000, 64, 0 };
-  step.mEstimateMs = aEstimateMs;
+  step.mDeclaredMs = aEstimateMs;
   return step;
 }
 
@@ -139,23 +139,23 @@
     1000,
     store,
     [&](const table_change& aChange) {
-      for (const watched_row& row : aChange.mRows) {
+      for (const store_row& row : aChange.mRows) {
         keys.push_back(row.mKey);
       }
     },
     events);
   watcher.Tick(seconds(1));
   CHECK(store.mReads == 1);
-  store.Answer(watch_status::Ok, 10, "a");
+  store.Answer(store_status::Ok, 10, "a");
   watcher.Tick(seconds(1));
   CHECK(store.mWatchedFrom == 10);
-  store.Answer(watch_status::Ok, 12, "b");
+  store.Answer(store_status::Ok, 12, "b");
   watcher.Tick(seconds(1));
   CHECK(store.mWatchedFrom == 12);
-  store.Answer(watch_status::HistoryGone, 0, "");
+  store.Answer(store_status::HistoryGone, 0, "");
   watcher.Tick(seconds(1) + milliseconds(60));
   CHECK(store.mReads == 2);
-  store.Answer(watch_status::Ok, 20, "c");
+  store.Answer(store_status::Ok, 20, "c");
   CHECK(keys == std::vector<std::string>{ "a", "b", "c" });
 }
 
@@ -169,7 +169,7 @@
   for (int i = 0; i < 100; i++) {
     watcher.Tick(now);
     if (store.mDone) {
-      store.Answer(watch_status::Unavailable, 0, "");
+      store.Answer(store_status::Unavailable, 0, "");
     }
     now += milliseconds(100);
   }
@@ -177,7 +177,7 @@
   CHECK(store.mReads <= 30);
   CHECK(!watcher.Available());
   watcher.Tick(now + seconds(1));
-  store.Answer(watch_status::Ok, 5, "");
+  store.Answer(store_status::Ok, 5, "");
   CHECK(watcher.Available());
   CHECK(events.mCodes == std::vector<event_code>{ event_code::TableUnavailable,
                                                   event_code::TableAvailable });
@@ -189,9 +189,9 @@
   // predecessors for ever would cost more each day.
   entry_directory directory("own:1");
   instant now = seconds(1);
-  CHECK(!directory.Learn("own:1", false, now));
-  CHECK(directory.Learn("seed:1", true, now));
-  CHECK(directory.Learn("old:1", false, now));
+  CHECK(!directory.Add("own:1", false, now));
+  CHECK(directory.Add("seed:1", true, now));
+  CHECK(directory.Add("old:1", false, now));
   CHECK(directory.Due(now).size() == 2);
   CHECK(directory.Due(now).empty());
   directory.OnUp("old:1", now);
@@ -241,9 +241,9 @@
   job_step step = StepOf(900);
   std::vector<server_view> views = { ViewOf(1, 1.0, 32000) };
   CHECK(ChooseServer(views, RequestOf(step, 300), random).mVerdict ==
-        placement_verdict::Hopeless);
+        placement_verdict::Infeasible);
   CHECK(ChooseServer({}, RequestOf(step, 1500), random).mVerdict ==
-        placement_verdict::Nowhere);
+        placement_verdict::NoCandidate);
 }
 
 TEST_CASE("a job is impossible only when every server has said so")
@@ -253,10 +253,10 @@
   job_step step = StepOf(60);
   step.mSize.mCpuMillis = 64000;
   std::vector<server_view> views = { ViewOf(1, 1, 0), ViewOf(2, 1, 0) };
-  CHECK(CanNeverRun(views, "s", step));
+  CHECK(IsUnsatisfiable(views, "s", step));
   views[1].mService.clear();
-  CHECK(!CanNeverRun(views, "s", step));
-  CHECK(!CanNeverRun({}, "s", step));
+  CHECK(!IsUnsatisfiable(views, "s", step));
+  CHECK(!IsUnsatisfiable({}, "s", step));
 }
 
 TEST_CASE("latencies are served as a histogram that adds up")
--- a/cactusmast/testing/queue_test.cc
+++ b/cactusmast/testing/queue_test.cc
@@ -257,7 +257,7 @@
     FAIL("it was admitted");
   } catch (const failure& error) {
     CHECK(error.Code() == error_code::Overloaded);
-    CHECK(error.Run() == run_state::NotRun);
+    CHECK(error.RunState() == run_state::NotRun);
     CHECK(error.RetryAfter() >= milliseconds(50));
   }
   // Another team's share is free: its work is admitted.
@@ -309,11 +309,11 @@
   health.RecordFailure(0, seconds(20));
   CHECK(health.Limit(0, 8, seconds(20)) == 1);
   health.RecordFailure(0, seconds(21));
-  CHECK(health.SetAside(0, seconds(21)));
+  CHECK(health.IsQuarantined(0, seconds(21)));
   CHECK(health.Limit(0, 8, seconds(21)) == 0);
   // A success of a task from before the failures does not bring it back.
   health.RecordSuccess(0, seconds(19));
-  CHECK(health.SetAside(0, seconds(21)));
+  CHECK(health.IsQuarantined(0, seconds(21)));
   CHECK(health.Limit(0, 8, seconds(60)) == 1);
   health.RecordSuccess(0, seconds(60));
   CHECK(health.Limit(0, 8, seconds(61)) == 2);
--- a/cactusmast/testing/server_record_test.cc
+++ b/cactusmast/testing/server_record_test.cc
@@ -19,22 +19,22 @@
   server_announcement made;
   made.mId = "i-1";
   made.mService = "s";
-  made.mBornMs = 5;
+  made.mStartTimeMs = 5;
   made.mCapacity = { 16000, 1000, 2 };
   made.mLabels = { "a", "r1-3" };
   return made;
 }
 
 // Answers reads with what was written; down when told so.
-class small_store : public watched_store
+class small_store : public metadata_store
 {
 public:
   void ReadPart(const std::string&,
                 const std::string& aPart,
                 callback aDone) override
   {
-    watch_answer answer = Status();
-    for (const watched_row& row : mRows) {
+    store_reply answer = Status();
+    for (const store_row& row : mRows) {
       if (row.mPart == aPart) {
         answer.mRows.push_back(row);
       }
@@ -45,7 +45,7 @@
   {
   }
   void PutRow(const std::string&,
-              const watched_row& aRow,
+              const store_row& aRow,
               callback aDone) override
   {
     mWrites++;
@@ -60,13 +60,13 @@
 
   bool mDown = false;
   int mWrites = 0;
-  std::vector<watched_row> mRows;
+  std::vector<store_row> mRows;
 
 private:
-  watch_answer Status() const
+  store_reply Status() const
   {
-    watch_answer answer;
-    answer.mStatus = mDown ? watch_status::Unavailable : watch_status::Ok;
+    store_reply answer;
+    answer.mStatus = mDown ? store_status::Unavailable : store_status::Ok;
     return answer;
   }
 };
@@ -74,12 +74,15 @@
 class idle_runner : public backend_runner
 {
 public:
-  void Start(const start_order& aOrder) override { mStarts.push_back(aOrder); }
-  void Stop(const stop_order&) override {}
-  void Look(const look_order& aOrder) override { mLook = aOrder.mNumber; }
-  void Expect(const std::string& aId) override { mExpected = aId; }
+  void Start(const start_request& aOrder) override
+  {
+    mStarts.push_back(aOrder);
+  }
+  void Stop(const stop_request&) override {}
+  void Poll(const poll_request& aOrder) override { mLook = aOrder.mNumber; }
+  void ExpectInstance(const std::string& aId) override { mExpected = aId; }
 
-  std::vector<start_order> mStarts;
+  std::vector<start_request> mStarts;
   uint64_t mLook = 0;
   std::string mExpected;
 };
@@ -88,7 +91,7 @@
 {
 public:
   void Report(peer_id, const wire::server_report_msg&) override {}
-  void Drop(peer_id) override {}
+  void Close(peer_id) override {}
 };
 
 // An executor that has just been started.
@@ -105,8 +108,8 @@
   {
     server_snapshot seen;
     seen.mClockMs = 1000;
-    seen.mBornMs = aBornMs;
-    mExecutor.OnLookAnswer(mRunner.mLook, look_result::Seen, seen, mNow);
+    seen.mStartTimeMs = aBornMs;
+    mExecutor.OnPollReply(mRunner.mLook, poll_result::Ok, seen, mNow);
   }
 
   void Pass(duration aSpan, int64_t aBornMs = 5)
@@ -114,7 +117,7 @@
     instant until = mNow + aSpan;
     while (mNow < until) {
       mNow += milliseconds(10);
-      mExecutor.OnPulse(1, mNow);
+      mExecutor.OnHeartbeat(1, mNow);
       Look(aBornMs);
       mExecutor.Tick(mNow);
     }
@@ -136,7 +139,7 @@
     DecodeServerRecord(EncodeServerRecord(server)).Value();
   CHECK(read.mId == server.mId);
   CHECK(read.mService == server.mService);
-  CHECK(read.mBornMs == server.mBornMs);
+  CHECK(read.mStartTimeMs == server.mStartTimeMs);
   CHECK(read.mCapacity.mCpuMillis == 16000);
   CHECK(read.mCapacity.mMemoryMb == 1000);
   CHECK(read.mCapacity.mGpus == 2);
@@ -160,21 +163,21 @@
   CHECK(store.mWrites == 0);
 
   store.mDown = true;
-  row.Keep("first");
+  row.Set("first");
   row.Tick(now);
   row.Tick(now + milliseconds(20));
   CHECK(store.mWrites == 1); // a store in trouble is not pressed
   store.mDown = false;
   row.Tick(now + seconds(2));
-  row.Keep("first");
+  row.Set("first");
   row.Tick(now + seconds(4));
   CHECK(store.mWrites == 2);
 
   std::string recalled;
   stored_row next(store, place, events);
-  next.Recall([&](const std::string& aValue) { recalled = aValue; });
+  next.Load([&](const std::string& aValue) { recalled = aValue; });
   CHECK(recalled == "first");
-  next.Keep("first");
+  next.Set("first");
   next.Tick(now + seconds(5));
   CHECK(store.mWrites == 2); // it says so already
 
@@ -190,20 +193,20 @@
   // callers find no room all that time, although every backend server is up.
   new_process world;
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
-  world.mExecutor.OnRecalled(SomeServer(), world.mNow);
+  world.mExecutor.OnServerRestored(SomeServer(), world.mNow);
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
   world.Look(5);
   CHECK(world.mExecutor.State(world.mNow) == server_state::Ready);
   CHECK(world.mExecutor.Free().mCpuMillis == 16000);
   CHECK(world.mRunner.mExpected == "i-1");
-  CHECK(world.mExecutor.Announced() == nullptr);
+  CHECK(world.mExecutor.Announcement() == nullptr);
 
   server_announcement said = SomeServer();
   said.mSequence = 9;
   world.mExecutor.OnAnnouncement(said, world.mNow);
   world.Pass(seconds(5));
   CHECK(world.mExecutor.State(world.mNow) == server_state::Ready);
-  CHECK(world.mExecutor.Announced() != nullptr);
+  CHECK(world.mExecutor.Announcement() != nullptr);
 }
 
 TEST_CASE("a record of another life of the backend server is not used")
@@ -211,19 +214,19 @@
   // The machine was replaced by a smaller one at the same address while the
   // executor was away. Tasks placed by the old size would overload it.
   new_process world;
-  world.mExecutor.OnRecalled(SomeServer(), world.mNow);
+  world.mExecutor.OnServerRestored(SomeServer(), world.mNow);
   world.Pass(milliseconds(50), 6);
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
 
   new_process seenFirst;
   seenFirst.Look(6);
-  seenFirst.mExecutor.OnRecalled(SomeServer(), seenFirst.mNow);
+  seenFirst.mExecutor.OnServerRestored(SomeServer(), seenFirst.mNow);
   seenFirst.Pass(milliseconds(50), 6);
   CHECK(seenFirst.mExecutor.State(seenFirst.mNow) == server_state::Absent);
 
   // One that does not tell its lives apart cannot be recognized.
   new_process silent;
-  silent.mExecutor.OnRecalled(SomeServer(), silent.mNow);
+  silent.mExecutor.OnServerRestored(SomeServer(), silent.mNow);
   silent.Pass(milliseconds(50), 0);
   CHECK(silent.mExecutor.State(silent.mNow) == server_state::Absent);
 }
@@ -234,7 +237,7 @@
   // because the store was away. It answers still, but it has stopped announcing
   // itself; it must get nothing new for long.
   new_process world;
-  world.mExecutor.OnRecalled(SomeServer(), world.mNow);
+  world.mExecutor.OnServerRestored(SomeServer(), world.mNow);
   world.Pass(seconds(2));
   CHECK(world.mExecutor.State(world.mNow) == server_state::Ready);
   world.Pass(seconds(2));
