--- a/cactusmast/testing/sized_world.cc
+++ b/cactusmast/testing/sized_world.cc
@@ -66,7 +66,7 @@
   }
   for (entry* one : awake) {
     if (mNow >= std::max(mStoreBackAt, one->mStoreBackAt)) {
-      one->mCore->OnEvacuations(evacuation_news{ mStore, mNow }, mNow);
+      one->mCore->OnEvacuations(evacuation_update{ mStore, mNow }, mNow);
     }
   }
   for (entry* from : awake) {
@@ -80,7 +80,7 @@
                 one->mCore->WantsEvacuations(mNow);
     mStoreAsks += asks ? 1 : 0;
     if (asks && mNow >= mStoreBackAt) {
-      one->mCore->OnEvacuations(evacuation_news{ mStore, mNow }, mNow);
+      one->mCore->OnEvacuations(evacuation_update{ mStore, mNow }, mNow);
     }
   }
 }
@@ -159,7 +159,7 @@
     if (mNow < one->mNextPulse) {
       continue;
     }
-    one->mNextPulse = mNow + kPulseInterval;
+    one->mNextPulse = mNow + kHeartbeatInterval;
     std::vector<peer_id> own;
     for (const auto& [id, way] : mLinks) {
       if (way.mUp && way.mEntry == one->mIndex &&
@@ -170,7 +170,7 @@
     }
     for (peer_id id : own) {
       Send(id, true, [this, id] {
-        Executor(mLinks.at(id).mServer).OnPulse(id, mNow);
+        Executor(mLinks.at(id).mServer).OnHeartbeat(id, mNow);
       });
     }
   }
@@ -220,7 +220,7 @@
       who.mDataCenter = DataCenterOf(out->mIndex);
       in->mCore->OnExecutorUp(id, who, mNow);
       out->mCore->OnEntryUp(id, "entry" + std::to_string(in->mIndex), mNow);
-      in->TellEvacuations(id);
+      in->SendEvacuations(id);
     }
   }
 }
--- a/cactusmast/testing/sized_world.h
+++ b/cactusmast/testing/sized_world.h
@@ -39,10 +39,10 @@
 public:
   fake_server(sized_world& aWorld, size_t aIndex);
 
-  void Start(const start_order& aOrder) override;
-  void Stop(const stop_order& aOrder) override;
-  void Look(const look_order& aOrder) override;
-  void Expect(const std::string&) override {}
+  void Start(const start_request& aOrder) override;
+  void Stop(const stop_request& aOrder) override;
+  void Poll(const poll_request& aOrder) override;
+  void ExpectInstance(const std::string&) override {}
 
   // Everything that runs is gone; a new life with an empty memory begins.
   void Crash();
@@ -51,7 +51,7 @@
   bool IsRunning(const task_key& aTask) const;
   size_t Running() const { return mRunning.size(); }
 
-  task_size mCapacity{ 32000, 131072, 0 };
+  resources mCapacity{ 32000, 131072, 0 };
   double mSpeed = 1;
   bool mDown = false;
   bool mDraining = false;
@@ -72,9 +72,9 @@
   };
 
   int64_t ClockMs() const;
-  start_result CarryOut(const start_order& aOrder);
-  void CarryOut(const stop_order& aOrder);
-  server_snapshot CarryOut(const look_order& aOrder);
+  start_result CarryOut(const start_request& aOrder);
+  void CarryOut(const stop_request& aOrder);
+  server_snapshot CarryOut(const poll_request& aOrder);
   void End(const task_key& aTask, end_kind aHow);
   bool Unanswered();
   void After(duration aDelay, std::function<void()> aDo);
--- a/cactusmast/testing/sized_world_callers.cc
+++ b/cactusmast/testing/sized_world_callers.cc
@@ -19,7 +19,7 @@
   job_step step;
   step.mCount = aTasks;
   step.mSize = { 3000, 64, 0 };
-  step.mEstimateMs = aDeclaredMs > 0 ? aDeclaredMs : aWorkMs;
+  step.mDeclaredMs = aDeclaredMs > 0 ? aDeclaredMs : aWorkMs;
   submission.mSteps.push_back(step);
   mJobs[job] = submission;
   mDeadlines[job] = aDeadlineMs;
@@ -60,7 +60,7 @@
   request.mSubmission = mJobs[aJob];
   request.mTable = mTable;
   request.mRoute = &mTable->Config().mRoutes[0];
-  request.mWaitMs = RemainingWaitMs(aJob);
+  request.mCallerTimeoutMs = RemainingWaitMs(aJob);
   Hand(request, aEntry);
 }
 
@@ -88,7 +88,7 @@
     if (one.mJob == aJob && !one.mAnswered && !one.mLost) {
       one.mLost = true;
       Deliver(false, one.mEntry, [this, i, entry = one.mEntry] {
-        Coordinator(entry).OnCallerGone(i);
+        Coordinator(entry).OnCallerDisconnected(i);
       });
     }
   }
--- a/cactusmast/testing/sized_world_parts.h
+++ b/cactusmast/testing/sized_world_parts.h
@@ -49,7 +49,7 @@
         .OnSubscription(aExecutor, aWanted, world->mNow);
     });
   }
-  void TellEvacuations(peer_id aExecutor) override
+  void SendEvacuations(peer_id aExecutor) override
   {
     std::shared_ptr<wire::evacuations_msg> said =
       EncodeEvacuations(mCore->Evacuations(), mWorld.mNow);
@@ -59,7 +59,7 @@
         .OnEvacuations(DecodeEvacuations(said.get(), world->mNow), world->mNow);
     });
   }
-  void Drop(peer_id aExecutor) override
+  void Close(peer_id aExecutor) override
   {
     mWorld.mDroppedLinks++;
     mWorld.CloseLink(aExecutor, false, true);
@@ -103,7 +103,7 @@
       world->Coordinator(way.mEntry).OnReport(aEntry, aSaid, world->mNow);
     });
   }
-  void Drop(peer_id aEntry) override
+  void Close(peer_id aEntry) override
   {
     mWorld.mDroppedLinks++;
     mWorld.CloseLink(aEntry, true, false);
--- a/cactusmast/testing/task_executor_test.cc
+++ b/cactusmast/testing/task_executor_test.cc
@@ -14,14 +14,17 @@
 class scripted_runner : public backend_runner
 {
 public:
-  void Start(const start_order& aOrder) override { mStarts.push_back(aOrder); }
-  void Stop(const stop_order& aOrder) override { mStops.push_back(aOrder); }
-  void Look(const look_order& aOrder) override { mLooks.push_back(aOrder); }
-  void Expect(const std::string&) override {}
-
-  std::vector<start_order> mStarts;
-  std::vector<stop_order> mStops;
-  std::vector<look_order> mLooks;
+  void Start(const start_request& aOrder) override
+  {
+    mStarts.push_back(aOrder);
+  }
+  void Stop(const stop_request& aOrder) override { mStops.push_back(aOrder); }
+  void Poll(const poll_request& aOrder) override { mLooks.push_back(aOrder); }
+  void ExpectInstance(const std::string&) override {}
+
+  std::vector<start_request> mStarts;
+  std::vector<stop_request> mStops;
+  std::vector<poll_request> mLooks;
 };
 
 class recorded_links : public executor_links
@@ -34,7 +37,7 @@
       mOutcomes.push_back(attempt_outcome(end.outcome()));
     }
   }
-  void Drop(peer_id) override { mDrops++; }
+  void Close(peer_id) override { mDrops++; }
 
   std::vector<attempt_outcome> mOutcomes;
   uint32_t mReports = 0;
@@ -58,7 +61,7 @@
     server_announcement said;
     said.mId = "i-1";
     said.mService = "s";
-    said.mBornMs = 5;
+    said.mStartTimeMs = 5;
     said.mSequence = ++mSequence;
     said.mColdLeftMs = aColdLeftMs;
     said.mCapacity = { 32000, 1000, 0 };
@@ -71,10 +74,12 @@
     for (int i = 0; i < aCount; i++) {
       Order();
       Pass(milliseconds(1));
-      const start_order started = mRunner.mStarts.back();
+      const start_request started = mRunner.mStarts.back();
       Answer(start_result::Started);
-      PassInSilence(aEach, { { started.mTask, started.mRun, 50 } });
-      ended_task end{ ++mEnds, started.mTask, started.mRun, end_kind::Done };
+      PassInSilence(aEach, { { started.mTask, started.mRunNumber, 50 } });
+      ended_task end{
+        ++mEnds, started.mTask, started.mRunNumber, end_kind::Done
+      };
       mNow += milliseconds(1);
       mExecutor.Tick(mNow);
       Look({}, { end });
@@ -82,7 +87,7 @@
   }
 
   // One task, ordered by the entry. aKnown: what it says of evacuations.
-  void Order(const evacuation_record* aKnown = nullptr)
+  void Order(const evacuation_tracker* aKnown = nullptr)
   {
     wire::start_tasks_msg order;
     if (aKnown != nullptr) {
@@ -100,8 +105,8 @@
 
   void Answer(start_result aResult)
   {
-    const start_order order = mRunner.mStarts.back();
-    mExecutor.OnStartAnswer(order.mTask, order.mRun, aResult, 0, mNow);
+    const start_request order = mRunner.mStarts.back();
+    mExecutor.OnStartReply(order.mTask, order.mRunNumber, aResult, 0, mNow);
     Pass(milliseconds(1));
   }
 
@@ -110,17 +115,17 @@
     REQUIRE(!mRunner.mLooks.empty());
     server_snapshot seen;
     seen.mClockMs = 1000;
-    seen.mBornMs = 5;
+    seen.mStartTimeMs = 5;
     seen.mRunning = std::move(aRunning);
     seen.mEnded = std::move(aEnded);
-    mExecutor.OnLookAnswer(
-      mRunner.mLooks.back().mNumber, look_result::Seen, seen, mNow);
+    mExecutor.OnPollReply(
+      mRunner.mLooks.back().mNumber, poll_result::Ok, seen, mNow);
   }
 
   void Pass(duration aSpan)
   {
     mNow += aSpan;
-    mExecutor.OnPulse(1, mNow);
+    mExecutor.OnHeartbeat(1, mNow);
     mExecutor.Tick(mNow);
   }
 
@@ -157,7 +162,7 @@
 
 const start_result kNotStarted[] = { start_result::Unreachable,
                                      start_result::Unhealthy,
-                                     start_result::OtherBoot,
+                                     start_result::OtherIncarnation,
                                      start_result::NoRoom,
                                      start_result::Malformed };
 
@@ -226,7 +231,8 @@
     started_task world;
     world.Answer(start_result::NoAnswer);
     REQUIRE(world.mRunner.mStarts.size() == 2);
-    CHECK(world.mRunner.mStarts[1].mRun == world.mRunner.mStarts[0].mRun);
+    CHECK(world.mRunner.mStarts[1].mRunNumber ==
+          world.mRunner.mStarts[0].mRunNumber);
     world.Answer(result);
     CHECK(world.mLinks.mOutcomes.empty());
     CHECK(world.mRunner.mStops.size() == 1);
@@ -252,7 +258,7 @@
   ended_task end;
   end.mNumber = 1;
   end.mTask = world.mRunner.mStarts[0].mTask;
-  end.mRun = world.mRunner.mStarts[0].mRun;
+  end.mRunNumber = world.mRunner.mStarts[0].mRunNumber;
   end.mHow = end_kind::Done;
   world.Look({}, { end });
   world.Pass(milliseconds(1));
@@ -273,7 +279,7 @@
   started_task world;
   world.Answer(start_result::Started);
   running_task run{ { 7, 0, 0 }, 1, 10 };
-  world.PassInSilence(kOwnerSilence - milliseconds(20), { run });
+  world.PassInSilence(kEntryTimeout - milliseconds(20), { run });
   CHECK(world.mLinks.mDrops == 0);
   CHECK(world.mRunner.mStops.empty());
   world.PassInSilence(milliseconds(40), { run });
@@ -301,25 +307,25 @@
   // Guards against jobs that lose the time in which they could run elsewhere.
   known_server told;
   told.Order();
-  told.mExecutor.OnEvacuations(evacuation_news{ { 2, { "a" } }, told.mNow },
+  told.mExecutor.OnEvacuations(evacuation_update{ { 2, { "a" } }, told.mNow },
                                told.mNow);
   told.Pass(milliseconds(1));
   CHECK(told.mRunner.mStarts.empty());
   REQUIRE(told.mLinks.mOutcomes.size() == 1);
-  CHECK(told.mLinks.mOutcomes[0] == attempt_outcome::Leaving);
+  CHECK(told.mLinks.mOutcomes[0] == attempt_outcome::Draining);
 }
 
 TEST_CASE("an order that tells of an evacuation here starts nothing")
 {
   // Guards against news that only comes after the order.
   known_server world;
-  evacuation_record sender;
-  sender.Offer({ { 2, { "a" } }, world.mNow });
+  evacuation_tracker sender;
+  sender.Update({ { 2, { "a" } }, world.mNow });
   world.Order(&sender);
   world.Pass(milliseconds(1));
   CHECK(world.mRunner.mStarts.empty());
   REQUIRE(world.mLinks.mOutcomes.size() == 1);
-  CHECK(world.mLinks.mOutcomes[0] == attempt_outcome::Leaving);
+  CHECK(world.mLinks.mOutcomes[0] == attempt_outcome::Draining);
   CHECK(world.mExecutor.State(world.mNow) == server_state::Evacuated);
 }
 
@@ -327,7 +333,7 @@
 {
   // Guards against a repeat that starts the task long after the evacuation.
   started_task world;
-  world.mExecutor.OnEvacuations(evacuation_news{ { 2, { "a" } }, world.mNow },
+  world.mExecutor.OnEvacuations(evacuation_update{ { 2, { "a" } }, world.mNow },
                                 world.mNow);
   world.Answer(start_result::NoAnswer);
   CHECK(world.mRunner.mStarts.size() == 1);
@@ -335,11 +341,11 @@
 
   started_task refused;
   refused.mExecutor.OnEvacuations(
-    evacuation_news{ { 2, { "a" } }, refused.mNow }, refused.mNow);
+    evacuation_update{ { 2, { "a" } }, refused.mNow }, refused.mNow);
   refused.Answer(start_result::FencedOff);
   CHECK(refused.mRunner.mStarts.size() == 1);
   REQUIRE(refused.mLinks.mOutcomes.size() == 1);
-  CHECK(refused.mLinks.mOutcomes[0] == attempt_outcome::Leaving);
+  CHECK(refused.mLinks.mOutcomes[0] == attempt_outcome::Draining);
 }
 
 TEST_CASE("what is learned of a backend server while it is cold is set aside")
--- a/cactusmast/testing/wait_model_test.cc
+++ b/cactusmast/testing/timeout_model_test.cc
@@ -7,7 +7,7 @@
 
 #include "cactusmast/placement.h"
 #include "cactusmast/testing/sized_world.h"
-#include "cactusmast/wait_model.h"
+#include "cactusmast/timeout_model.h"
 
 namespace cactusmast::testing {
 namespace {
@@ -56,17 +56,17 @@
 }
 
 void
-Teach(wait_model* aModel, caller_model* aCallers, int aJobs)
+Teach(timeout_model* aModel, caller_model* aCallers, int aJobs)
 {
   for (int i = 0; i < aJobs; i++) {
     caller_model::job job = aCallers->Next();
-    aModel->Learn("r", job.mDeclaredMs, job.mWaitMs, job.mRunMs);
+    aModel->Observe("r", job.mDeclaredMs, job.mWaitMs, job.mRunMs);
   }
 }
 
 // Mean of the absolute logarithm of forecast over run time, for new jobs.
 double
-MeanError(const wait_model& aModel, caller_model* aCallers)
+MeanError(const timeout_model& aModel, caller_model* aCallers)
 {
   double sum = 0;
   for (int i = 0; i < 500; i++) {
@@ -83,7 +83,7 @@
 TEST_CASE("waits forecast run times better than what callers declare")
 {
   caller_model callers(1);
-  wait_model model;
+  timeout_model model;
   CHECK(MeanError(model, &callers) > 0.25); // as declared
   Teach(&model, &callers, 100);
   CHECK(MeanError(model, &callers) < 0.05);
@@ -104,11 +104,11 @@
   for (double spreadMs : { 0.0, 400.0 }) {
     CAPTURE(spreadMs);
     caller_model callers(3);
-    wait_model model;
+    timeout_model model;
     for (int i = 0; i < 300; i++) {
       caller_model::job job = callers.Next();
       double waitMs = 1500 + spreadMs * double(random() % 1000) / 1000;
-      model.Learn("r", job.mDeclaredMs, waitMs, job.mRunMs);
+      model.Observe("r", job.mDeclaredMs, waitMs, job.mRunMs);
       run_forecast made = model.Forecast("r", job.mDeclaredMs, waitMs);
       // Far outliers of what is declared may be told from the middle.
       bool likely = made.mRunMs > 0.5 * job.mDeclaredMs;
@@ -121,7 +121,7 @@
 TEST_CASE("a route whose callers change how long they wait is learned anew")
 {
   caller_model callers(4);
-  wait_model model;
+  timeout_model model;
   Teach(&model, &callers, 400);
   callers.mWaitBaseMs = 3000;
   callers.mWaitPerRunMs = 2;
@@ -140,7 +140,7 @@
   // what is left of its time. If its short wait counted as little work, it
   // would get the place of a job that can still be in time.
   caller_model callers(5);
-  wait_model model;
+  timeout_model model;
   Teach(&model, &callers, 300);
   int returned = 0;
   int mistaken = 0;
@@ -159,16 +159,16 @@
 TEST_CASE("lines survive storage, and what was seen more often stays")
 {
   caller_model callers(6);
-  wait_model model;
+  timeout_model model;
   Teach(&model, &callers, 200);
   std::string bytes = model.Encode();
 
-  wait_model restarted;
+  timeout_model restarted;
   REQUIRE(restarted.Merge(bytes).Ok());
   CHECK(restarted.Forecast("r", 50, 2600).mRunMs ==
         doctest::Approx(model.Forecast("r", 50, 2600).mRunMs));
 
-  wait_model young;
+  timeout_model young;
   Teach(&young, &callers, 20);
   std::string less = young.Encode();
   double before = model.Forecast("r", 50, 2600).mRunMs;
@@ -179,14 +179,15 @@
   model.KeepOnly({ "other" });
   CHECK(model.Forecast("r", 50, 2600).mRunMs == 50);
   for (int i = 0; i < 2000; i++) {
-    model.Learn("route-" + std::to_string(i), 50, 2600, 60);
+    model.Observe("route-" + std::to_string(i), 50, 2600, 60);
   }
   CHECK(model.Encode().size() < 48000);
 
   CHECK_FALSE(model.Merge("nonsense").Ok());
-  CHECK_FALSE(wait_line::FromSums({ 1, 2, 3 }).Ok());
+  CHECK_FALSE(timeout_regression::FromSums({ 1, 2, 3 }).Ok());
   CHECK_FALSE(
-    wait_line::FromSums({ 1, 2, 3, 4, 5, 6, 7, 8, std::nan("") }).Ok());
+    timeout_regression::FromSums({ 1, 2, 3, 4, 5, 6, 7, 8, std::nan("") })
+      .Ok());
 }
 
 TEST_CASE("callers that return after an outage do not make new ones late")
@@ -218,11 +219,12 @@
   constexpr auto kBack = kOutage + seconds(1);
   std::string kept;
   world.At(kOutage - milliseconds(1), [&] {
-    kept = world.Coordinator(0).Waits().Encode();
+    kept = world.Coordinator(0).TimeoutModel().Encode();
     world.KillEntry(0, seconds(1));
   });
-  world.At(kBack + milliseconds(1),
-           [&] { REQUIRE(world.Coordinator(0).Waits().Merge(kept).Ok()); });
+  world.At(kBack + milliseconds(1), [&] {
+    REQUIRE(world.Coordinator(0).TimeoutModel().Merge(kept).Ok());
+  });
   for (duration at{ 0 }; at < seconds(8); at += kInterval) {
     bool down = at >= kOutage && at < kBack + milliseconds(2);
     bool counts = at >= kBack + milliseconds(300);
--- a/cactusmast/testing/world.cc
+++ b/cactusmast/testing/world.cc
@@ -230,8 +230,8 @@
       continue;
     }
     Deliver(*one, [] {});
-    bool done = one->mDraining && (one->mIsEntry ? one->mEntry->Drained()
-                                                 : one->mGuard->Drained());
+    bool done = one->mDraining && (one->mIsEntry ? one->mEntry->IsDrained()
+                                                 : one->mGuard->IsDrained());
     if (done) {
       drained.push_back(name);
     }
@@ -254,7 +254,7 @@
   server.mServices = { "ordering" };
   server.mSlots = aBeside.mServer.mSlots;
   server.mAccelerators = aBeside.mServer.mAccelerators;
-  if (!aBeside.mGuard->Draining()) {
+  if (!aBeside.mGuard->IsDraining()) {
     aBeside.mGuard->Announce(server, mNow);
   }
 }
--- a/cactusmast/testing/world_fakes.h
+++ b/cactusmast/testing/world_fakes.h
@@ -376,11 +376,12 @@
     std::uniform_real_distribution<double> uniform(0, 1);
     bool fails = uniform(mWorld.mRandom) < server.mFail;
     duration run(int64_t(double(payload.mRun.count()) / server.mSpeed));
-    task_end end{ aTask.mRef,
-                  fails ? task_outcome::Failed : task_outcome::Succeeded,
-                  run_state::Run,
-                  fails ? task_reason::BackendError : task_reason::None,
-                  fails ? "" : ExpectedOutput(payload.mKey, payload.mIndex) };
+    task_completion end{ aTask.mRef,
+                         fails ? task_outcome::Failed : task_outcome::Succeeded,
+                         run_state::Run,
+                         fails ? task_reason::BackendError : task_reason::None,
+                         fails ? ""
+                               : ExpectedOutput(payload.mKey, payload.mIndex) };
     End(aTask.mRef,
         mWorld.mNow + (fails ? duration(detail::milliseconds(1)) : run),
         end);
@@ -416,7 +417,7 @@
     return true;
   }
 
-  void End(const task_ref& aRef, instant aWhen, const task_end& aEnd)
+  void End(const task_ref& aRef, instant aWhen, const task_completion& aEnd)
   {
     uint64_t incarnation = mSelf.mIncarnation;
     uint64_t life = mSelf.mServer.mLife;
@@ -431,7 +432,7 @@
     });
   }
 
-  void Tell(const task_end& aEnd)
+  void Tell(const task_completion& aEnd)
   {
     mWorld.Deliver(
       mSelf, [this, aEnd] { mSelf.mGuard->OnTaskEnded(aEnd, mWorld.mNow); });
--- a/cactusmast/wait_model.cc
+++ b/cactusmast/timeout_model.cc
@@ -1,4 +1,4 @@
-#include "cactusmast/wait_model.h"
+#include "cactusmast/timeout_model.h"
 
 #include <algorithm>
 #include <array>
@@ -26,7 +26,7 @@
 constexpr double kLeastWaitDeviation = 5;
 // Neither is known better than this; also keeps logarithms finite.
 constexpr double kLeastSigma = 0.08;
-constexpr double kLeastRunMs = 1;
+constexpr double kMinRunMs = 1;
 // Declared run times are further off than this many deviations in one job of
 // two hundred.
 constexpr double kReturnedSigmas = 2.6;
@@ -41,15 +41,15 @@
 double
 SquaredLog(double aRunMs, double aPredictedMs)
 {
-  double off = std::log(std::max(kLeastRunMs, aRunMs) /
-                        std::max(kLeastRunMs, aPredictedMs));
+  double off =
+    std::log(std::max(kMinRunMs, aRunMs) / std::max(kMinRunMs, aPredictedMs));
   return off * off;
 }
 
 } // namespace
 
 bool
-wait_line::IsFitted() const
+timeout_regression::IsFitted() const
 {
   if (mWeight < kLeastWeight) {
     return false;
@@ -67,27 +67,27 @@
 }
 
 bool
-wait_line::IsBetter() const
+timeout_regression::IsBetter() const
 {
   return IsFitted() && mJudged >= kLeastWeight / 2 &&
          mLineErrors < mDeclaredErrors;
 }
 
 double
-wait_line::Slope() const
+timeout_regression::Slope() const
 {
   double spread = mWaitSquares - mWaits * mWaits / mWeight;
   return (mProducts - mWaits * mRuns / mWeight) / spread;
 }
 
 double
-wait_line::RunAt(double aWaitMs) const
+timeout_regression::RunAt(double aWaitMs) const
 {
   return mRuns / mWeight + Slope() * (aWaitMs - mWaits / mWeight);
 }
 
 void
-wait_line::Fade()
+timeout_regression::Fade()
 {
   for (double* sum : { &mWeight,
                        &mWaits,
@@ -103,13 +103,13 @@
 }
 
 void
-wait_line::Learn(double aDeclaredMs, double aWaitMs, double aRunMs)
+timeout_regression::Observe(double aDeclaredMs, double aWaitMs, double aRunMs)
 {
   bool returned = Forecast(aDeclaredMs, aWaitMs).mElapsedMs > 0;
   mReturnedShare =
     kReturnedFade * mReturnedShare + (1 - kReturnedFade) * (returned ? 1 : 0);
   if (mReturnedShare > kChangedShare) {
-    *this = wait_line();
+    *this = timeout_regression();
   } else if (returned) {
     return;
   }
@@ -128,7 +128,7 @@
 }
 
 run_forecast
-wait_line::Forecast(double aDeclaredMs, double aWaitMs) const
+timeout_regression::Forecast(double aDeclaredMs, double aWaitMs) const
 {
   run_forecast declared{ aDeclaredMs, kDeclaredSigma, 0 };
   if (aWaitMs <= 0 || !IsBetter()) {
@@ -143,20 +143,20 @@
   }
   double sigma = std::max(kLeastSigma, std::sqrt(mLineErrors / mJudged));
   double longest = aDeclaredMs * std::exp(kLongestSigmas * declaredSigma);
-  return { std::clamp(runMs, kLeastRunMs, std::max(kLeastRunMs, longest)),
+  return { std::clamp(runMs, kMinRunMs, std::max(kMinRunMs, longest)),
            sigma,
            0 };
 }
 
 std::vector<double>
-wait_line::Sums() const
+timeout_regression::Sums() const
 {
   return { mWeight,     mWaits,  mRuns,       mWaitSquares,   mProducts,
            mRunSquares, mJudged, mLineErrors, mDeclaredErrors };
 }
 
-result<wait_line>
-wait_line::FromSums(const std::vector<double>& aSums)
+result<timeout_regression>
+timeout_regression::FromSums(const std::vector<double>& aSums)
 {
   bool sound = aSums.size() == kSums &&
                std::all_of(aSums.begin(), aSums.end(), [](double aSum) {
@@ -165,7 +165,7 @@
   if (!sound) {
     return failure(error_code::BadRequest, "decode", "store", "no sums");
   }
-  wait_line made;
+  timeout_regression made;
   made.mWeight = aSums[0];
   made.mWaits = aSums[1];
   made.mRuns = aSums[2];
@@ -179,19 +179,19 @@
 }
 
 void
-wait_model::Learn(const std::string& aRoute,
-                  double aDeclaredMs,
-                  double aWaitMs,
-                  double aRunMs)
+timeout_model::Observe(const std::string& aRoute,
+                       double aDeclaredMs,
+                       double aWaitMs,
+                       double aRunMs)
 {
   mLearned++;
-  mLines[aRoute].Learn(aDeclaredMs, aWaitMs, aRunMs);
+  mLines[aRoute].Observe(aDeclaredMs, aWaitMs, aRunMs);
 }
 
 run_forecast
-wait_model::Forecast(const std::string& aRoute,
-                     double aDeclaredMs,
-                     double aWaitMs) const
+timeout_model::Forecast(const std::string& aRoute,
+                        double aDeclaredMs,
+                        double aWaitMs) const
 {
   auto found = mLines.find(aRoute);
   return found == mLines.end() ? run_forecast{ aDeclaredMs, kDeclaredSigma, 0 }
@@ -199,7 +199,7 @@
 }
 
 void
-wait_model::KeepOnly(const std::set<std::string>& aRoutes)
+timeout_model::KeepOnly(const std::set<std::string>& aRoutes)
 {
   for (auto at = mLines.begin(); at != mLines.end();) {
     at = aRoutes.count(at->first) > 0 ? std::next(at) : mLines.erase(at);
@@ -207,14 +207,14 @@
 }
 
 std::string
-wait_model::Encode() const
+timeout_model::Encode() const
 {
   std::vector<std::pair<double, std::string_view>> names;
   for (const auto& [name, line] : mLines) {
     names.emplace_back(-line.Weight(), name);
   }
   std::sort(names.begin(), names.end());
-  names.resize(std::min(names.size(), kMaxStoredLines));
+  names.resize(std::min(names.size(), kMaxStoredRegressions));
   wire::wait_lines_msg record;
   for (const auto& [weight, name] : names) {
     auto one = std::make_unique<wire::wait_line_msg>();
@@ -228,7 +228,7 @@
 }
 
 result<bool>
-wait_model::Merge(const std::string& aBytes)
+timeout_model::Merge(const std::string& aBytes)
 {
   return ResultOf<bool>([&] {
     message decoded = std::move(DecodeFrame(aBytes, "store").Value());
@@ -236,12 +236,12 @@
     if (record == nullptr) {
       throw failure(error_code::Protocol, "decode", "store", "no wait lines");
     }
-    std::map<std::string, wait_line> read;
+    std::map<std::string, timeout_regression> read;
     for (const auto& one : record->lines) {
-      read[one->route] = wait_line::FromSums(one->sums).Value();
+      read[one->route] = timeout_regression::FromSums(one->sums).Value();
     }
     for (const auto& [name, line] : read) {
-      wait_line& own = mLines[name];
+      timeout_regression& own = mLines[name];
       if (own.Weight() < line.Weight()) {
         own = line;
       }
--- a/cactusmast/wait_model.h
+++ b/cactusmast/timeout_model.h
@@ -21,8 +21,8 @@
 //
 // Run times are on a backend server of ordinary speed.
 
-#ifndef CACTUSMAST_WAIT_MODEL_H_
-#define CACTUSMAST_WAIT_MODEL_H_
+#ifndef CACTUSMAST_TIMEOUT_MODEL_H_
+#define CACTUSMAST_TIMEOUT_MODEL_H_
 
 #include <cstdint>
 #include <map>
@@ -44,10 +44,10 @@
 };
 
 // The line of one route.
-class wait_line
+class timeout_regression
 {
 public:
-  void Learn(double aDeclaredMs, double aWaitMs, double aRunMs);
+  void Observe(double aDeclaredMs, double aWaitMs, double aRunMs);
   run_forecast Forecast(double aDeclaredMs, double aWaitMs) const;
   // Sum of the weights of all pairs; bounded because they fade.
   double Weight() const { return mWeight; }
@@ -55,7 +55,7 @@
   // The decayed sums, in a fixed order, for storage.
   std::vector<double> Sums() const;
   // Errors: BadRequest for sums that no observations can have.
-  static result<wait_line> FromSums(const std::vector<double>& aSums);
+  static result<timeout_regression> FromSums(const std::vector<double>& aSums);
 
 private:
   bool IsFitted() const;
@@ -79,35 +79,36 @@
 };
 
 // A row holds 64 KB, a line takes about 100 bytes.
-constexpr size_t kMaxStoredLines = 300;
+constexpr size_t kMaxStoredRegressions = 300;
 
-class wait_model
+class timeout_model
 {
 public:
   // Only what was seen on this route.
-  void Learn(const std::string& aRoute,
-             double aDeclaredMs,
-             double aWaitMs,
-             double aRunMs);
+  void Observe(const std::string& aRoute,
+               double aDeclaredMs,
+               double aWaitMs,
+               double aRunMs);
   run_forecast Forecast(const std::string& aRoute,
                         double aDeclaredMs,
                         double aWaitMs) const;
 
   // Forgets the lines of all other routes: routes come and go for years.
   void KeepOnly(const std::set<std::string>& aRoutes);
-  // As bytes of a row: the lines that rest on most, kMaxStoredLines of them.
+  // As bytes of a row: the lines that rest on most, kMaxStoredRegressions of
+  // them.
   std::string Encode() const;
   // Takes over the lines of routes of which less was seen here. Errors:
   // Protocol; nothing is taken over then.
   result<bool> Merge(const std::string& aBytes);
   // Pairs learned here so far.
-  uint64_t Learned() const { return mLearned; }
+  uint64_t Observations() const { return mLearned; }
 
 private:
-  std::map<std::string, wait_line> mLines;
+  std::map<std::string, timeout_regression> mLines;
   uint64_t mLearned = 0;
 };
 
 } // namespace cactusmast
 
-#endif // CACTUSMAST_WAIT_MODEL_H_
+#endif // CACTUSMAST_TIMEOUT_MODEL_H_
--- a/cmd/cactusmast_main.cc
+++ b/cmd/cactusmast_main.cc
@@ -546,8 +546,8 @@
   } catch (const failure& error) {
     std::cerr << "cactusmast: " << Name(error.Code()) << ": " << error.what()
               << "\n  step: " << error.Step() << "\n  peer: " << error.Peer()
-              << "\n  run: " << Name(error.Run()) << "\n";
-    bool unknown = error.Run() == run_state::Unknown;
+              << "\n  run: " << Name(error.RunState()) << "\n";
+    bool unknown = error.RunState() == run_state::Unknown;
     bool usage = error.Code() == error_code::BadRequest;
     return usage ? Usage : unknown ? NoAnswer : Refused;
   } catch (const std::exception& error) {
--- a/shell/backend_client.cc
+++ b/shell/backend_client.cc
@@ -38,33 +38,33 @@
     });
 }
 
-task_end
+task_completion
 backend_client::Decode(const task_ref& aRef, const http_response& aResponse)
 {
-  task_end end;
+  task_completion end;
   end.mRef = aRef;
   end.mOutput = aResponse.mBody;
   if (aResponse.mFault == http_fault::Refused) {
     end.mOutcome = task_outcome::Refused;
-    end.mRun = run_state::NotRun;
+    end.mRunState = run_state::NotRun;
     end.mReason = task_reason::Withdrawn;
     return end;
   }
   if (aResponse.mFault != http_fault::None) {
     end.mOutcome = task_outcome::Failed;
-    end.mRun = run_state::Unknown;
+    end.mRunState = run_state::Unknown;
     end.mReason = task_reason::BackendLost;
     end.mOutput = aResponse.mText;
     return end;
   }
   if (aResponse.mStatus == kOk) {
     end.mOutcome = task_outcome::Succeeded;
-    end.mRun = run_state::Run;
+    end.mRunState = run_state::Run;
     return end;
   }
   bool notRun = aResponse.mRunHeader == Name(run_state::NotRun);
   end.mOutcome = notRun ? task_outcome::Refused : task_outcome::Failed;
-  end.mRun = notRun ? run_state::NotRun : run_state::Run;
+  end.mRunState = notRun ? run_state::NotRun : run_state::Run;
   end.mReason = notRun ? task_reason::Withdrawn : task_reason::BackendError;
   return end;
 }
--- a/shell/backend_client.h
+++ b/shell/backend_client.h
@@ -16,7 +16,7 @@
 class backend_client : public backend_port
 {
 public:
-  using callback = std::function<void(const task_end&)>;
+  using callback = std::function<void(const task_completion&)>;
 
   explicit backend_client(callback aOnEnd);
 
@@ -27,7 +27,8 @@
   void Cancel(const task_ref& aRef) override;
 
 private:
-  static task_end Decode(const task_ref& aRef, const http_response& aResponse);
+  static task_completion Decode(const task_ref& aRef,
+                                const http_response& aResponse);
 
   std::string mUrl;
   http_client mClient;
--- a/shell/coordinator_daemon.cc
+++ b/shell/coordinator_daemon.cc
@@ -14,8 +14,8 @@
 // Only one that still lacks it after this time is sent a copy, or one that has
 // none at all.
 constexpr duration kConfigCopyAfter = milliseconds(300);
-constexpr duration kEntryPulseInterval = milliseconds(300);
-constexpr duration kEntrySilence = milliseconds(1000);
+constexpr duration kEntryHeartbeatInterval = milliseconds(300);
+constexpr duration kPeerEntryTimeout = milliseconds(1000);
 // Between looks at which executors are to be shown that this entry lives. A
 // turn comes with each message, and each look goes through all of them.
 constexpr duration kExecutorCheckInterval = milliseconds(20);
@@ -44,9 +44,9 @@
                  aSettings.mInstance.mMechanisms)
   , mConfig(aAdapter.mDecodeConfig)
   , mEvacuationRows(aAdapter.mEvacuations, mLog)
-  , mWaitRow(aAdapter.mStore,
-             { aAdapter.mLayout.mWaitTable, "", "waits" },
-             mLog)
+  , mTimeoutModelRow(aAdapter.mStore,
+                     { aAdapter.mLayout.mTimeoutModelTable, "", "waits" },
+                     mLog)
   , mConfigWatcher(
       aAdapter.mLayout.mConfigTable,
       kConfigWaitMs,
@@ -83,7 +83,7 @@
                        kMaxBody,
                        [this](http_exchange& aOne) { OnRequest(aOne); },
                        [this](uint64_t aId) {
-                         mCoordinator.OnCallerGone(aId);
+                         mCoordinator.OnCallerDisconnected(aId);
                          TickSoon();
                        })
                        .Value());
@@ -97,8 +97,8 @@
                            },
                            [](uint64_t) {})
                            .Value());
-  mWaitRow.Recall([this](const std::string& aBytes) {
-    result<bool> merged = mCoordinator.Waits().Merge(aBytes);
+  mTimeoutModelRow.Load([this](const std::string& aBytes) {
+    result<bool> merged = mCoordinator.TimeoutModel().Merge(aBytes);
     if (!merged.Ok()) {
       mLog.Emit(event_code::PeerProtocolError,
                 { { "peer", "store" }, { "text", merged.Error().what() } });
@@ -138,16 +138,16 @@
 }
 
 void
-coordinator_daemon::TellEvacuations(peer_id aExecutor)
+coordinator_daemon::SendEvacuations(peer_id aExecutor)
 {
   auto found = mExecutorPeers.find(aExecutor);
   if (found != mExecutorPeers.end()) {
-    PulseExecutor(aExecutor, found->second, Now());
+    SendExecutorHeartbeat(aExecutor, found->second, Now());
   }
 }
 
 void
-coordinator_daemon::Drop(peer_id aExecutor)
+coordinator_daemon::Close(peer_id aExecutor)
 {
   mTransport->Close(aExecutor);
   mExecutorPeers.erase(aExecutor);
@@ -169,13 +169,13 @@
   if (aIdentity.mRole == process_role::Guard) {
     executor_peer& added = mExecutorPeers[aPeer];
     mCoordinator.OnExecutorUp(aPeer, aIdentity, Now());
-    PulseExecutor(aPeer, added, Now());
+    SendExecutorHeartbeat(aPeer, added, Now());
   } else {
     entry_peer& added = mEntryPeers[aPeer];
     added.mAddress = aIdentity.mAddress;
-    added.mHeardAt = Now();
+    added.mLastHeard = Now();
     mDirectory.OnUp(aIdentity.mAddress, Now());
-    mNextPulse = Now();
+    mNextHeartbeat = Now();
   }
   TickSoon();
 }
@@ -207,15 +207,15 @@
       if (found == mEntryPeers.end()) {
         break;
       }
-      found->second.mHeardAt = Now();
+      found->second.mLastHeard = Now();
       found->second.mConfigVersion = pulse.config_version;
       mCoordinator.OnEvacuations(
         DecodeEvacuations(pulse.evacuating.get(), Now()), Now());
-      LearnEntries(pulse.entries, found->second.mAddress, Now());
+      AddEntries(pulse.entries, found->second.mAddress, Now());
       break;
     }
     case message_kind::config_document:
-      OfferConfig(aMessage.Asconfig_document()->text, "entry");
+      UpdateConfig(aMessage.Asconfig_document()->text, "entry");
       break;
     default:
       break;
@@ -224,11 +224,11 @@
 }
 
 void
-coordinator_daemon::OfferConfig(const std::string& aText,
-                                const std::string& aSource)
+coordinator_daemon::UpdateConfig(const std::string& aText,
+                                 const std::string& aSource)
 {
   uint64_t before = mConfig.Version();
-  result<bool> taken = mConfig.Offer(aText);
+  result<bool> taken = mConfig.Update(aText);
   if (!taken.Ok()) {
     mLog.Emit(event_code::ConfigUnreadable,
               { { "text", taken.Error().what() }, { "source", aSource } });
@@ -254,7 +254,7 @@
   for (const route& one : mConfig.Table()->Config().mRoutes) {
     routes.insert(one.mName);
   }
-  mCoordinator.Waits().KeepOnly(routes);
+  mCoordinator.TimeoutModel().KeepOnly(routes);
 }
 
 // Evacuations come first: a caller that waits for the configuration must not be
@@ -264,10 +264,10 @@
 {
   instant now = Now();
   mCoordinator.OnEvacuations(
-    evacuation_news{ mEvacuationRows.Apply(aChange), now }, now);
-  for (const watched_row& row : aChange.mRows) {
+    evacuation_update{ mEvacuationRows.Apply(aChange), now }, now);
+  for (const store_row& row : aChange.mRows) {
     if (row.mKey == mAdapter.mLayout.mConfigKey && !row.mDeleted) {
-      OfferConfig(row.mValue, "store");
+      UpdateConfig(row.mValue, "store");
     }
   }
 }
@@ -275,10 +275,10 @@
 void
 coordinator_daemon::OnEntryRows(const table_change& aChange)
 {
-  for (const watched_row& row : aChange.mRows) {
+  for (const store_row& row : aChange.mRows) {
     if (row.mDeleted) {
       mDirectory.Unpin(row.mKey);
-    } else if (mDirectory.Learn(row.mKey, true, Now())) {
+    } else if (mDirectory.Add(row.mKey, true, Now())) {
       mLog.Emit(event_code::EntryKnown,
                 { { "address", row.mKey }, { "source", "store" } });
     }
@@ -287,21 +287,21 @@
 
 // Writes this entry's row until the store has it.
 void
-coordinator_daemon::AnnounceSelf(instant aNow)
+coordinator_daemon::RegisterSelf(instant aNow)
 {
   bool draining = IsDraining();
-  if (mAnnounced != draining || mAnnouncing || aNow < mNextAnnounce) {
+  if (mRegistered != draining || mRegistering || aNow < mNextRegistration) {
     return;
   }
-  mAnnouncing = true;
-  watched_row row{ mInstance.PeerAddress(), mInstance.mName, draining, "" };
+  mRegistering = true;
+  store_row row{ mInstance.PeerAddress(), mInstance.mName, draining, "" };
   mAdapter.mStore.PutRow(mAdapter.mLayout.mEntryTable,
                          row,
-                         [this, draining](const watch_answer& aAnswer) {
-                           mAnnouncing = false;
-                           mNextAnnounce = Now() + kAnnounceRetry;
-                           if (aAnswer.mStatus == watch_status::Ok) {
-                             mAnnounced = !draining;
+                         [this, draining](const store_reply& aAnswer) {
+                           mRegistering = false;
+                           mNextRegistration = Now() + kAnnounceRetry;
+                           if (aAnswer.mStatus == store_status::Ok) {
+                             mRegistered = !draining;
                            }
                          });
 }
@@ -309,15 +309,16 @@
 // An entry that restarts knows at once how its callers wait. Each value is
 // whole and from this minute, so it does not matter which entry wrote last.
 void
-coordinator_daemon::KeepWaits(instant aNow)
-{
-  const wait_model& waits = mCoordinator.Waits();
-  if (aNow >= mNextWaitRow && waits.Learned() >= mWaitsKept + kWaitRowNews) {
-    mNextWaitRow = aNow + kWaitRowInterval;
-    mWaitsKept = waits.Learned();
-    mWaitRow.Keep(waits.Encode());
+coordinator_daemon::StoreTimeoutModel(instant aNow)
+{
+  const timeout_model& waits = mCoordinator.TimeoutModel();
+  if (aNow >= mNextTimeoutModelWrite &&
+      waits.Observations() >= mStoredObservations + kWaitRowNews) {
+    mNextTimeoutModelWrite = aNow + kWaitRowInterval;
+    mStoredObservations = waits.Observations();
+    mTimeoutModelRow.Set(waits.Encode());
   }
-  mWaitRow.Tick(aNow);
+  mTimeoutModelRow.Tick(aNow);
 }
 
 void
@@ -331,13 +332,13 @@
 }
 
 wire::entry_pulse_msg
-coordinator_daemon::MakePulse(uint64_t* aToldRevision, instant aNow) const
+coordinator_daemon::MakeHeartbeat(uint64_t* aToldRevision, instant aNow) const
 {
   wire::entry_pulse_msg pulse;
   pulse.config_version = mConfig.Version();
   pulse.evacuating = EncodeEvacuations(mCoordinator.Evacuations(), aNow);
   if (*aToldRevision != mDirectory.Revision()) {
-    pulse.entries = mDirectory.Seen(aNow);
+    pulse.entries = mDirectory.LiveAddresses(aNow);
     *aToldRevision = mDirectory.Revision();
   }
   return pulse;
@@ -346,7 +347,7 @@
 // An order shows as well as a pulse that this entry lives, so executors that
 // get some are spared the pulses.
 void
-coordinator_daemon::PulseExecutors(instant aNow)
+coordinator_daemon::SendExecutorHeartbeats(instant aNow)
 {
   if (aNow < mNextExecutorCheck) {
     return;
@@ -357,53 +358,53 @@
   for (peer_id peer : busy) {
     auto found = mExecutorPeers.find(peer);
     bool due = found != mExecutorPeers.end() &&
-               aNow - found->second.mSentAt >= kPulseInterval;
+               aNow - found->second.mSentAt >= kHeartbeatInterval;
     if (due) {
-      PulseExecutor(peer, found->second, aNow);
+      SendExecutorHeartbeat(peer, found->second, aNow);
     }
   }
-  if (mToldRevision != mDirectory.Revision()) {
-    mToldRevision = mDirectory.Revision();
-    TellEntries(aNow);
+  if (mSentRevision != mDirectory.Revision()) {
+    mSentRevision = mDirectory.Revision();
+    SendEntryList(aNow);
   }
 }
 
 // To the executors that do not know all entries yet.
 void
-coordinator_daemon::TellEntries(instant aNow)
+coordinator_daemon::SendEntryList(instant aNow)
 {
   std::vector<peer_id> untold;
   for (const auto& [peer, at] : mExecutorPeers) {
-    if (at.mToldRevision != mToldRevision) {
+    if (at.mSentRevision != mSentRevision) {
       untold.push_back(peer);
     }
   }
   for (peer_id peer : untold) {
     auto found = mExecutorPeers.find(peer);
     if (found != mExecutorPeers.end()) {
-      PulseExecutor(peer, found->second, aNow);
+      SendExecutorHeartbeat(peer, found->second, aNow);
     }
   }
 }
 
 void
-coordinator_daemon::PulseExecutor(peer_id aPeer,
-                                  executor_peer& aAt,
-                                  instant aNow)
+coordinator_daemon::SendExecutorHeartbeat(peer_id aPeer,
+                                          executor_peer& aAt,
+                                          instant aNow)
 {
-  SendToExecutor(aPeer, MakeMessage(MakePulse(&aAt.mToldRevision, aNow)));
+  SendToExecutor(aPeer, MakeMessage(MakeHeartbeat(&aAt.mSentRevision, aNow)));
 }
 
 void
-coordinator_daemon::SendPulses(instant aNow)
+coordinator_daemon::SendHeartbeats(instant aNow)
 {
-  PulseExecutors(aNow);
-  if (aNow < mNextPulse) {
+  SendExecutorHeartbeats(aNow);
+  if (aNow < mNextHeartbeat) {
     return;
   }
-  mNextPulse = aNow + kEntryPulseInterval;
+  mNextHeartbeat = aNow + kEntryHeartbeatInterval;
   for (auto& [peer, at] : mEntryPeers) {
-    mTransport->Send(peer, MakeMessage(MakePulse(&at.mToldRevision, aNow)));
+    mTransport->Send(peer, MakeMessage(MakeHeartbeat(&at.mSentRevision, aNow)));
     SendConfigTo(peer, at, aNow);
   }
 }
@@ -428,7 +429,7 @@
 coordinator_daemon::DropSilentEntries(instant aNow)
 {
   for (auto at = mEntryPeers.begin(); at != mEntryPeers.end();) {
-    if (aNow - at->second.mHeardAt <= kEntrySilence) {
+    if (aNow - at->second.mLastHeard <= kPeerEntryTimeout) {
       ++at;
       continue;
     }
@@ -446,17 +447,17 @@
   CheckSettingsFile(now);
   mConfigWatcher.Tick(now);
   mEntryWatcher.Tick(now);
-  AnnounceSelf(now);
-  KeepWaits(now);
+  RegisterSelf(now);
+  StoreTimeoutModel(now);
   RefuseOverdue(now);
-  SendIdleElsewhere(now);
+  CloseIdleConnections(now);
   mCoordinator.Tick(now);
   DropSilentEntries(now);
   // One connection between two entries suffices.
   DialEntries(now, [this](const std::string& aAddress) {
     return aAddress > mInstance.PeerAddress();
   });
-  SendPulses(now);
+  SendHeartbeats(now);
   mTransport->Flush();
   mTransport->Sweep();
 }
@@ -527,7 +528,7 @@
                  counts.mOtherwiseIn);
   aPage->Counter("cactusmast_orders_sent",
                  "Messages that ordered tasks.",
-                 double(counts.mOrders));
+                 double(counts.mDispatches));
   aPage->Counter("cactusmast_attempts", "Attempts.", double(counts.mAttempts));
   aPage->Counter("cactusmast_attempts_bounced",
                  "Attempts that an executor did not start.",
@@ -549,7 +550,7 @@
   aPage->Gauge("cactusmast_config_version",
                "Version in force.",
                double(mConfig.Version()));
-  AddEvacuations(mCoordinator.Evacuations(), Now(), aPage);
+  AddEvacuationMetrics(mCoordinator.Evacuations(), Now(), aPage);
   aPage->Gauge("cactusmast_store_available",
                "Whether the store answers.",
                mConfigWatcher.Available() ? 1 : 0);
--- a/shell/coordinator_daemon.h
+++ b/shell/coordinator_daemon.h
@@ -25,14 +25,14 @@
   std::string mConfigTable; // of operators: configuration and evacuations
   std::string mConfigKey;
   std::string mEntryTable; // a row for each entry; its key is the address
-  std::string mWaitTable;  // one row, of the wait model
+  std::string mTimeoutModelTable; // one row, of the wait model
 };
 
 // What the adapter of a platform brings. All must outlive the daemon.
 struct coordinator_adapter
 {
   const caller_codec& mCallers;
-  watched_store& mStore;
+  metadata_store& mStore;
   config_holder::decoder mDecodeConfig;
   const evacuation_codec& mEvacuations;
   store_layout mLayout;
@@ -56,8 +56,8 @@
   void Start(peer_id aExecutor, wire::start_tasks_msg aOrder) override;
   void Stop(peer_id aExecutor, wire::stop_tasks_msg aOrder) override;
   void Subscribe(peer_id aExecutor, bool aWanted) override;
-  void TellEvacuations(peer_id aExecutor) override;
-  void Drop(peer_id aExecutor) override;
+  void SendEvacuations(peer_id aExecutor) override;
+  void Close(peer_id aExecutor) override;
   void Answer(caller_id aCaller, const job_outcome& aOutcome) override;
   double NextUniform() override;
 
@@ -74,15 +74,15 @@
   struct entry_peer
   {
     std::string mAddress;
-    instant mHeardAt{};
+    instant mLastHeard{};
     uint64_t mConfigVersion = 0;
     uint64_t mSentVersion = 0;  // of the configuration, to this peer
-    uint64_t mToldRevision = 0; // of the directory
+    uint64_t mSentRevision = 0; // of the directory
   };
 
   struct executor_peer
   {
-    uint64_t mToldRevision = 0; // of the directory
+    uint64_t mSentRevision = 0; // of the directory
     instant mSentAt{};          // when it was last shown that this entry lives
   };
 
@@ -96,7 +96,7 @@
   void ServeHeld();
   void RefuseOverdue(instant aNow);
   // In the later part of a planned stop.
-  void SendIdleElsewhere(instant aNow);
+  void CloseIdleConnections(instant aNow);
   void OnSubmission(http_exchange& aExchange,
                     const std::shared_ptr<const route_table>& aTable,
                     const route& aRoute,
@@ -123,19 +123,20 @@
   // Always true while no planned stop is under way.
   bool EndsBeforeStop(const job_submission& aJob) const;
   bool IsReady() const;
-  void OfferConfig(const std::string& aText, const std::string& aSource);
+  void UpdateConfig(const std::string& aText, const std::string& aSource);
   // Of what was learned about callers.
   void ForgetOldRoutes();
   void OnOperatorRows(const table_change& aChange);
   void OnEntryRows(const table_change& aChange);
-  void AnnounceSelf(instant aNow);
-  void KeepWaits(instant aNow);
+  void RegisterSelf(instant aNow);
+  void StoreTimeoutModel(instant aNow);
   // aToldRevision: of the directory, at the receiver.
-  wire::entry_pulse_msg MakePulse(uint64_t* aToldRevision, instant aNow) const;
-  void SendPulses(instant aNow);
-  void PulseExecutors(instant aNow);
-  void PulseExecutor(peer_id aPeer, executor_peer& aAt, instant aNow);
-  void TellEntries(instant aNow);
+  wire::entry_pulse_msg MakeHeartbeat(uint64_t* aToldRevision,
+                                      instant aNow) const;
+  void SendHeartbeats(instant aNow);
+  void SendExecutorHeartbeats(instant aNow);
+  void SendExecutorHeartbeat(peer_id aPeer, executor_peer& aAt, instant aNow);
+  void SendEntryList(instant aNow);
   void SendToExecutor(peer_id aExecutor, message aMessage);
   void SendConfigTo(peer_id aPeer, entry_peer& aAt, instant aNow);
   void DropSilentEntries(instant aNow);
@@ -146,22 +147,23 @@
   config_holder mConfig;
   instant mConfigAt{};
   startup_queue mHeld;
-  evacuation_rows mEvacuationRows;
-  stored_row mWaitRow;
-  uint64_t mWaitsKept = 0; // pairs learned when the row was last written
-  instant mNextWaitRow{};
+  evacuation_reader mEvacuationRows;
+  stored_row mTimeoutModelRow;
+  // Pairs learned when the row was last written.
+  uint64_t mStoredObservations = 0;
+  instant mNextTimeoutModelWrite{};
   table_watcher mConfigWatcher;
   table_watcher mEntryWatcher;
   std::unique_ptr<http_server> mFront;
   std::unique_ptr<http_server> mReadiness;
   std::map<peer_id, entry_peer> mEntryPeers;
   std::map<peer_id, executor_peer> mExecutorPeers;
-  uint64_t mToldRevision = 0; // of the directory, to all executors
-  instant mNextPulse{};
+  uint64_t mSentRevision = 0; // of the directory, to all executors
+  instant mNextHeartbeat{};
   instant mNextExecutorCheck{};
-  bool mAnnounced = false;
-  bool mAnnouncing = false;
-  instant mNextAnnounce{};
+  bool mRegistered = false;
+  bool mRegistering = false;
+  instant mNextRegistration{};
   instant mDrainingSince{};
   instant mNextIdleClose{};
 };
--- a/shell/coordinator_requests.cc
+++ b/shell/coordinator_requests.cc
@@ -94,7 +94,7 @@
 }
 
 void
-coordinator_daemon::SendIdleElsewhere(instant aNow)
+coordinator_daemon::CloseIdleConnections(instant aNow)
 {
   if (DrainingFor() < kCloseIdleAfter || aNow < mNextIdleClose) {
     return;
@@ -132,7 +132,7 @@
     return;
   }
   uint64_t job = 0;
-  if (!ParseJob(name, &job)) {
+  if (!ParseJobId(name, &job)) {
     Refuse(aExchange.Id(),
            failure(error_code::BadRequest,
                    "read request",
@@ -167,7 +167,7 @@
 {
   milliseconds longest{ 0 };
   for (const job_step& step : aJob.mSteps) {
-    longest = std::max(longest, milliseconds(step.mEstimateMs));
+    longest = std::max(longest, milliseconds(step.mDeclaredMs));
   }
   return !IsDraining() ||
          DrainingFor() + longest <= milliseconds(DrainTimeMs());
@@ -215,11 +215,11 @@
   const route& aRoute,
   uint64_t aJob)
 {
-  if (aExchange.ClientLeft()) {
+  if (aExchange.ClientDisconnected()) {
     // Seconds may have passed since it was sent, and the caller sends its job
     // again 1300 ms after it closed: its tasks would run twice at a time.
     mLog.Emit(event_code::JobCancelled,
-              { { "job", JobText(aJob) },
+              { { "job", FormatJobId(aJob) },
                 { "reason", "its caller left before it was read" } });
     Reply(aExchange.Id(), SOUP_STATUS_SERVICE_UNAVAILABLE, "{}");
     return;
@@ -235,8 +235,8 @@
   request.mSubmission = std::move(read.Value());
   request.mTable = aTable;
   request.mRoute = &aRoute;
-  std::string wait = aExchange.Header(mAdapter.mCallers.WaitHeader());
-  request.mWaitMs = uint32_t(std::strtoul(wait.c_str(), nullptr, 10));
+  std::string wait = aExchange.Header(mAdapter.mCallers.CallerTimeoutHeader());
+  request.mCallerTimeoutMs = uint32_t(std::strtoul(wait.c_str(), nullptr, 10));
   mCoordinator.Submit(std::move(request), Now());
 }
 
--- a/shell/daemon.cc
+++ b/shell/daemon.cc
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 
 // Between the node's end and the process's, for the last answers to leave.
-constexpr guint kLastWordsMs = 300;
+constexpr guint kExitFlushMs = 300;
 
 } // namespace
 
@@ -140,7 +140,7 @@
 {
   g_timeout_add_full(
     aPriority,
-    kLastWordsMs,
+    kExitFlushMs,
     [](gpointer aLoop) -> gboolean {
       g_main_loop_quit(static_cast<GMainLoop*>(aLoop));
       return G_SOURCE_REMOVE;
--- a/shell/entry_daemon.cc
+++ b/shell/entry_daemon.cc
@@ -92,7 +92,7 @@
                       [this](http_exchange& aOne) { OnRequest(aOne); },
                       [this](uint64_t aId) {
                         mOpen.erase(aId);
-                        mNode->CallerGone(aId);
+                        mNode->OnCallerDisconnected(aId);
                       })
                       .Value());
   entry_options options;
@@ -159,7 +159,7 @@
 bool
 entry_daemon::IsDrained()
 {
-  return mNode->Drained() && mOpen.empty() && !mTransport->OutputPending();
+  return mNode->IsDrained() && mOpen.empty() && !mTransport->OutputPending();
 }
 
 void
@@ -261,7 +261,7 @@
   } else if (path == "/healthz") {
     mHttp->Answer(id, { 200, "ok\n", "text/plain" });
   } else if (path == "/readyz") {
-    bool ready = mNode->Ready();
+    bool ready = mNode->IsReady();
     mHttp->Answer(
       id,
       { ready ? 200 : 503, ready ? "ready\n" : "not ready\n", "text/plain" });
--- a/shell/executor_daemon.cc
+++ b/shell/executor_daemon.cc
@@ -11,7 +11,7 @@
 constexpr duration kAskForEvacuationsInterval = milliseconds(1000);
 // A fencing token must exceed that of the process before it. Seconds since
 // this day do, unless the clock went back; then the backend server says so.
-constexpr int64_t kFenceEpoch = 1735689600;
+constexpr int64_t kFencingTokenEpoch = 1735689600;
 // Of the shortest times that the executor keeps, 25 ms and more.
 constexpr uint32_t kBusyTickMs = 20;
 // Without tasks it only has to notice that something is gone.
@@ -24,13 +24,14 @@
   : instance_daemon(aSettings.mInstance, process_role::Guard, "")
   , mSettings(aSettings)
   , mAdapter(aAdapter)
-  , mExecutor(uint64_t(std::max<int64_t>(1, WallSeconds() - kFenceEpoch)),
-              aSettings.mService,
-              aSettings.mInstance.mDataCenter,
-              *this,
-              aAdapter.mRunner,
-              mLog,
-              aSettings.mInstance.mMechanisms)
+  , mExecutor(
+      uint64_t(std::max<int64_t>(1, WallSeconds() - kFencingTokenEpoch)),
+      aSettings.mService,
+      aSettings.mInstance.mDataCenter,
+      *this,
+      aAdapter.mRunner,
+      mLog,
+      aSettings.mInstance.mMechanisms)
   // A part of its own, so that a fleet that starts at once does not queue at
   // one.
   , mRecord(aAdapter.mStore,
@@ -69,7 +70,7 @@
             { { "role", "executor" },
               { "control", mSettings.mControl },
               { "listen", mInstance.PeerAddress() } });
-  mRecord.Recall([this](const std::string& aBytes) { OnRecord(aBytes); });
+  mRecord.Load([this](const std::string& aBytes) { OnRecord(aBytes); });
 }
 
 void
@@ -88,9 +89,9 @@
   if (said.mKind == announcement_kind::Present) {
     mExecutor.OnAnnouncement(said.mServer, Now());
   } else {
-    mExecutor.OnDeparture(said.mServer.mId, Now());
+    mExecutor.OnWithdrawal(said.mServer.mId, Now());
   }
-  KeepRecord();
+  StoreRecord();
   http_answer answer;
   answer.mBody = "{}";
   mControl->Answer(aExchange.Id(), answer);
@@ -106,21 +107,21 @@
               { { "peer", "store" }, { "text", record.Error().what() } });
     return;
   }
-  mExecutor.OnRecalled(record.Value(), Now());
+  mExecutor.OnServerRestored(record.Value(), Now());
   TickSoon();
 }
 
 void
-executor_daemon::KeepRecord()
+executor_daemon::StoreRecord()
 {
-  const server_announcement* server = mExecutor.Announced();
+  const server_announcement* server = mExecutor.Announcement();
   if (server == nullptr) {
     return;
   }
   if (server->mDraining) {
     mRecord.Remove();
   } else {
-    mRecord.Keep(EncodeServerRecord(*server));
+    mRecord.Set(EncodeServerRecord(*server));
   }
 }
 
@@ -166,8 +167,8 @@
         aPeer, aMessage.Asreport_subscription()->wanted, now);
       break;
     case message_kind::entry_pulse:
-      mExecutor.OnPulse(aPeer, now);
-      LearnEntries(aMessage.Asentry_pulse()->entries, mEntryPeers[aPeer], now);
+      mExecutor.OnHeartbeat(aPeer, now);
+      AddEntries(aMessage.Asentry_pulse()->entries, mEntryPeers[aPeer], now);
       if (!mExecutor.OnEvacuations(
             DecodeEvacuations(aMessage.Asentry_pulse()->evacuating.get(), now),
             now)) {
@@ -187,7 +188,7 @@
 }
 
 void
-executor_daemon::Drop(peer_id aEntry)
+executor_daemon::Close(peer_id aEntry)
 {
   auto found = mEntryPeers.find(aEntry);
   if (found != mEntryPeers.end()) {
@@ -199,42 +200,43 @@
 
 // All seeds may have been replaced since the settings were written.
 void
-executor_daemon::AskStore(instant aNow)
+executor_daemon::ReadEntries(instant aNow)
 {
-  if (mDirectory.Connected() > 0 || mAsking || aNow < mNextAsk) {
+  if (mDirectory.Connected() > 0 || mReadingEntries ||
+      aNow < mNextEntriesRead) {
     return;
   }
-  mAsking = true;
-  mNextAsk = aNow + kAskStoreInterval;
+  mReadingEntries = true;
+  mNextEntriesRead = aNow + kAskStoreInterval;
   mAdapter.mStore.ReadPart(
-    mAdapter.mEntryTable, "", [this](const watch_answer& aAnswer) {
-      mAsking = false;
+    mAdapter.mEntryTable, "", [this](const store_reply& aAnswer) {
+      mReadingEntries = false;
       std::vector<std::string> addresses;
-      for (const watched_row& row : aAnswer.mRows) {
+      for (const store_row& row : aAnswer.mRows) {
         addresses.push_back(row.mKey);
       }
-      LearnEntries(addresses, "store", Now());
+      AddEntries(addresses, "store", Now());
     });
 }
 
 // Entries that cannot reach the store may be the only ones that order here.
 void
-executor_daemon::AskForEvacuations(instant aNow)
+executor_daemon::ReadEvacuations(instant aNow)
 {
-  bool due = !mAskingForEvacuations && aNow >= mNextEvacuationAsk;
+  bool due = !mReadingEvacuations && aNow >= mNextEvacuationsRead;
   if (!due || !mExecutor.WantsEvacuations(aNow)) {
     return;
   }
-  mAskingForEvacuations = true;
-  mNextEvacuationAsk = aNow + kAskForEvacuationsInterval;
+  mReadingEvacuations = true;
+  mNextEvacuationsRead = aNow + kAskForEvacuationsInterval;
   mAdapter.mStore.ReadPart(
-    mAdapter.mConfigTable, "", [this](const watch_answer& aAnswer) {
-      mAskingForEvacuations = false;
-      if (aAnswer.mStatus == watch_status::Ok && !aAnswer.mMore) {
+    mAdapter.mConfigTable, "", [this](const store_reply& aAnswer) {
+      mReadingEvacuations = false;
+      if (aAnswer.mStatus == store_status::Ok && !aAnswer.mMore) {
         instant now = Now();
         const evacuation_state& read =
           mEvacuationRows.Apply({ aAnswer.mRows, aAnswer.mVersion, true });
-        mExecutor.OnEvacuations(evacuation_news{ read, now }, now);
+        mExecutor.OnEvacuations(evacuation_update{ read, now }, now);
         TickSoon();
       }
     });
@@ -247,8 +249,8 @@
   CheckSettingsFile(now);
   mExecutor.Tick(now);
   DialEntries(now, [](const std::string&) { return true; });
-  AskStore(now);
-  AskForEvacuations(now);
+  ReadEntries(now);
+  ReadEvacuations(now);
   mRecord.Tick(now);
   mTransport->Flush();
   mTransport->Sweep();
@@ -309,7 +311,7 @@
   aPage->Gauge("cactusmast_server_state",
                "0 absent, 1 ready, 2 draining, 3 ill, 4 evacuated.",
                double(mExecutor.State(Now())));
-  AddEvacuations(mExecutor.Evacuations(), Now(), aPage);
+  AddEvacuationMetrics(mExecutor.Evacuations(), Now(), aPage);
   aPage->Gauge("cactusmast_entries_connected",
                "Entries connected.",
                double(mEntryPeers.size()));
--- a/shell/executor_daemon.h
+++ b/shell/executor_daemon.h
@@ -19,7 +19,7 @@
 {
   const announcement_codec& mAnnouncements;
   backend_runner& mRunner;
-  watched_store& mStore;
+  metadata_store& mStore;
   std::string mEntryTable;  // as in store_layout
   std::string mServerTable; // for server records
   std::string mConfigTable;
@@ -44,7 +44,7 @@
   void OnPeerMessage(peer_id aPeer, const message& aMessage) override;
 
   void Report(peer_id aEntry, const wire::server_report_msg& aSaid) override;
-  void Drop(peer_id aEntry) override;
+  void Close(peer_id aEntry) override;
 
 protected:
   void OnTick() override;
@@ -60,11 +60,11 @@
                   const executor_adapter& aAdapter);
   void Open();
   void OnControlRequest(http_exchange& aExchange);
-  void AskStore(instant aNow);
-  void AskForEvacuations(instant aNow);
+  void ReadEntries(instant aNow);
+  void ReadEvacuations(instant aNow);
   // What an earlier process here kept in the store.
   void OnRecord(const std::string& aBytes);
-  void KeepRecord();
+  void StoreRecord();
 
   executor_settings mSettings;
   executor_adapter mAdapter;
@@ -72,11 +72,11 @@
   stored_row mRecord;
   std::unique_ptr<http_server> mControl;
   std::map<peer_id, std::string> mEntryPeers; // their addresses
-  bool mAsking = false;
-  instant mNextAsk{};
-  evacuation_rows mEvacuationRows;
-  bool mAskingForEvacuations = false;
-  instant mNextEvacuationAsk{};
+  bool mReadingEntries = false;
+  instant mNextEntriesRead{};
+  evacuation_reader mEvacuationRows;
+  bool mReadingEvacuations = false;
+  instant mNextEvacuationsRead{};
 };
 
 } // namespace cactusmast
--- a/shell/guard_daemon.cc
+++ b/shell/guard_daemon.cc
@@ -74,7 +74,7 @@
              mNode->OnTableReply(aReply, Now());
              TickSoon();
            })
-  , mBackend([this](const task_end& aEnd) {
+  , mBackend([this](const task_completion& aEnd) {
     mNode->OnTaskEnded(aEnd, Now());
     TickSoon();
   })
@@ -172,7 +172,7 @@
 bool
 guard_daemon::IsDrained()
 {
-  return mNode->Drained() && !mTransport->OutputPending();
+  return mNode->IsDrained() && !mTransport->OutputPending();
 }
 
 void
@@ -233,7 +233,7 @@
                   { "running", mNode->Running() },
                   { "started", mNode->Counters().mStarted },
                   { "records", mNode->Records() },
-                  { "draining", mNode->Draining() } };
+                  { "draining", mNode->IsDraining() } };
   return { 200, status.dump() };
 }
 
--- a/shell/http_server.cc
+++ b/shell/http_server.cc
@@ -164,7 +164,7 @@
 }
 
 bool
-http_exchange::ClientLeft() const
+http_exchange::ClientDisconnected() const
 {
   GSocket* socket = SocketOf(mMessage.get());
   if (socket == nullptr || g_socket_is_closed(socket)) {
@@ -188,10 +188,12 @@
   return good ? uint32_t(value) : aMax;
 }
 
-http_server::http_server(size_t aMaxBody, handler aHandler, gone_handler aGone)
+http_server::http_server(size_t aMaxBody,
+                         handler aHandler,
+                         disconnect_handler aGone)
   : mMaxBody(aMaxBody)
   , mHandler(std::move(aHandler))
-  , mGone(std::move(aGone))
+  , mOnDisconnect(std::move(aGone))
 {
 }
 
@@ -218,7 +220,7 @@
 http_server::Create(const std::string& aListen,
                     size_t aMaxBody,
                     handler aHandler,
-                    gone_handler aGone)
+                    disconnect_handler aGone)
 {
   std::unique_ptr<http_server> made(
     new http_server(aMaxBody, std::move(aHandler), std::move(aGone)));
@@ -482,7 +484,7 @@
 {
   std::vector<uint64_t> left;
   for (const auto& [id, exchange] : mOpen) {
-    if (exchange->ClientLeft()) {
+    if (exchange->ClientDisconnected()) {
       left.push_back(id);
     }
   }
@@ -492,7 +494,7 @@
     answer.mStatus = SOUP_STATUS_SERVICE_UNAVAILABLE;
     answer.mClose = true;
     Answer(id, answer);
-    mGone(id);
+    mOnDisconnect(id);
   }
 }
 
@@ -510,7 +512,7 @@
   if (open != self->mOpen.end()) {
     std::unique_ptr<http_exchange> ended = std::move(open->second);
     self->mOpen.erase(open);
-    OutsideNested([&] { self->mGone(id); });
+    OutsideNested([&] { self->mOnDisconnect(id); });
   }
 }
 
--- a/shell/http_server.h
+++ b/shell/http_server.h
@@ -47,7 +47,7 @@
   // Whether the client has closed the connection. Asks the socket: a process
   // that stood still or fell behind reads requests whose clients left long ago,
   // and the library tells of that only when it reads on.
-  bool ClientLeft() const;
+  bool ClientDisconnected() const;
   // A whole number from the query, or aDefault; values that are no number or
   // over aMax count as aMax.
   uint32_t QueryNumber(const char* aName,
@@ -74,12 +74,12 @@
   using handler = std::function<void(http_exchange&)>;
   // The client closed its connection, or that broke, before its answer: told
   // within 200 ms. A client that only stops sending counts as gone.
-  using gone_handler = std::function<void(uint64_t)>;
+  using disconnect_handler = std::function<void(uint64_t)>;
 
   static result<std::unique_ptr<http_server>> Create(const std::string& aListen,
                                                      size_t aMaxBody,
                                                      handler aHandler,
-                                                     gone_handler aGone);
+                                                     disconnect_handler aGone);
   ~http_server();
 
   // Null when the exchange is over.
@@ -105,7 +105,7 @@
     std::set<GSocket*> mReading; // those with a request read in part
   };
 
-  http_server(size_t aMaxBody, handler aHandler, gone_handler aGone);
+  http_server(size_t aMaxBody, handler aHandler, disconnect_handler aGone);
   static gboolean OnAcceptReady(GSocket* aListener,
                                 GIOCondition aCondition,
                                 gpointer aData);
@@ -139,7 +139,7 @@
   std::vector<std::shared_ptr<connection_group>> mGroups;
   size_t mMaxBody;
   handler mHandler;
-  gone_handler mGone;
+  disconnect_handler mOnDisconnect;
   std::map<uint64_t, std::unique_ptr<http_exchange>> mOpen;
   std::map<SoupServerMessage*, uint64_t> mByMessage;
   uint64_t mNextId = 1;
--- a/shell/instance_daemon.cc
+++ b/shell/instance_daemon.cc
@@ -38,7 +38,7 @@
   , mDirectory(aDirectoryOwn)
 {
   for (const std::string& seed : aSettings.SeedAddresses()) {
-    mDirectory.Learn(seed, true, Now());
+    mDirectory.Add(seed, true, Now());
   }
 }
 
@@ -94,7 +94,7 @@
   }
   size_t added = 0;
   for (const std::string& seed : read.Value().SeedAddresses()) {
-    added += mDirectory.Learn(seed, true, Now()) ? 1 : 0;
+    added += mDirectory.Add(seed, true, Now()) ? 1 : 0;
   }
   mLog.Emit(
     event_code::SettingsReloaded,
@@ -140,12 +140,12 @@
 }
 
 void
-instance_daemon::LearnEntries(const std::vector<std::string>& aAddresses,
-                              const std::string& aSource,
-                              instant aNow)
+instance_daemon::AddEntries(const std::vector<std::string>& aAddresses,
+                            const std::string& aSource,
+                            instant aNow)
 {
   for (const std::string& address : aAddresses) {
-    if (mDirectory.Learn(address, false, aNow)) {
+    if (mDirectory.Add(address, false, aNow)) {
       mLog.Emit(event_code::EntryKnown,
                 { { "address", address }, { "source", aSource } });
     }
--- a/shell/instance_daemon.h
+++ b/shell/instance_daemon.h
@@ -48,9 +48,9 @@
   void DialEntries(instant aNow,
                    const std::function<bool(const std::string&)>& aDialled);
   // Learns addresses that another process named.
-  void LearnEntries(const std::vector<std::string>& aAddresses,
-                    const std::string& aSource,
-                    instant aNow);
+  void AddEntries(const std::vector<std::string>& aAddresses,
+                  const std::string& aSource,
+                  instant aNow);
 
   instance_settings mInstance;
   process_role mRole;
--- a/shell/metrics_page.cc
+++ b/shell/metrics_page.cc
@@ -106,9 +106,9 @@
 }
 
 void
-AddEvacuations(const evacuation_record& aKnown,
-               instant aNow,
-               metrics_page* aPage)
+AddEvacuationMetrics(const evacuation_tracker& aKnown,
+                     instant aNow,
+                     metrics_page* aPage)
 {
   std::map<std::string, double> seconds;
   for (const auto& [center, since] : aKnown.Since()) {
--- a/shell/metrics_page.h
+++ b/shell/metrics_page.h
@@ -48,9 +48,9 @@
 
 // What the process knows of evacuations, and how long ago the store told it.
 void
-AddEvacuations(const evacuation_record& aKnown,
-               instant aNow,
-               metrics_page* aPage);
+AddEvacuationMetrics(const evacuation_tracker& aKnown,
+                     instant aNow,
+                     metrics_page* aPage);
 
 // Resident memory and processor time of this process.
 void
--- a/shell/peer_transport.cc
+++ b/shell/peer_transport.cc
@@ -185,8 +185,8 @@
     if (accepted == nullptr) {
       return G_SOURCE_CONTINUE;
     }
-    link& added = self->AddLink(std::move(accepted), link_state::Greeting);
-    self->Greet(added);
+    link& added = self->AddLink(std::move(accepted), link_state::Handshaking);
+    self->SendHello(added);
   }
 }
 
@@ -217,7 +217,7 @@
     g_socket_connect(added.mSocket.get(), address.get(), nullptr, &error);
   gerror_ptr held(error);
   if (done) {
-    Greet(added);
+    SendHello(added);
   } else if (g_error_matches(error, G_IO_ERROR, G_IO_ERROR_PENDING)) {
     Watch(added, true);
   } else {
@@ -226,9 +226,9 @@
 }
 
 void
-peer_transport::Greet(link& aLink)
+peer_transport::SendHello(link& aLink)
 {
-  aLink.mState = link_state::Greeting;
+  aLink.mState = link_state::Handshaking;
   Watch(aLink, false);
   wire::hello_msg hello;
   hello.protocol = kProtocolVersion;
@@ -425,7 +425,7 @@
       OnWritable(one);
     }
     bool open =
-      one.mState == link_state::Greeting || one.mState == link_state::Ready;
+      one.mState == link_state::Handshaking || one.mState == link_state::Ready;
     if (open && (ready[i].events & ~unsigned(EPOLLOUT)) != 0) {
       OnReadable(one);
     }
@@ -441,7 +441,7 @@
       Shut(aLink, false);
       return;
     }
-    Greet(aLink);
+    SendHello(aLink);
     return;
   }
   FlushLink(aLink);
@@ -560,7 +560,7 @@
   for (auto entry = mLinks.begin(); entry != mLinks.end();) {
     link& checked = *entry->second;
     bool connecting = checked.mState == link_state::Connecting;
-    bool greeting = connecting || checked.mState == link_state::Greeting;
+    bool greeting = connecting || checked.mState == link_state::Handshaking;
     uint32_t limitMs =
       connecting ? mOptions.mConnectLimitMs : mOptions.mHandshakeLimitMs;
     if (greeting && now - checked.mSince > gint64(limitMs) * 1000) {
--- a/shell/peer_transport.h
+++ b/shell/peer_transport.h
@@ -90,7 +90,7 @@
   enum class link_state : uint8_t
   {
     Connecting,
-    Greeting, // our hello is sent
+    Handshaking, // our hello is sent
     Ready,
     Closed
   };
@@ -124,7 +124,7 @@
   void Listen();
   link& AddLink(gobject_ptr<GSocket> aSocket, link_state aState);
   void SetOptions(GSocket* aSocket) const;
-  void Greet(link& aLink);
+  void SendHello(link& aLink);
   void Shut(link& aLink, bool aTell);
   void OnReadable(link& aLink);
   void OnWritable(link& aLink);
--- a/shell/testing/http_server_test.cc
+++ b/shell/testing/http_server_test.cc
@@ -91,7 +91,7 @@
   bool handled = false;
   bool left = false;
   loopback_server server = ServeOnLoopback([&](http_exchange& aOne) {
-    left = aOne.ClientLeft();
+    left = aOne.ClientDisconnected();
     handled = true;
   });
 
--- a/shell/testing/loopback.cc
+++ b/shell/testing/loopback.cc
@@ -7,7 +7,8 @@
 namespace cactusmast::testing {
 
 loopback_server
-ServeOnLoopback(http_server::handler aHandler, http_server::gone_handler aGone)
+ServeOnLoopback(http_server::handler aHandler,
+                http_server::disconnect_handler aGone)
 {
   constexpr size_t kMaxBody = 1u << 20;
   loopback_server made;
--- a/shell/testing/loopback.h
+++ b/shell/testing/loopback.h
@@ -23,7 +23,7 @@
 loopback_server
 ServeOnLoopback(
   http_server::handler aHandler,
-  http_server::gone_handler aGone = [](uint64_t) {});
+  http_server::disconnect_handler aGone = [](uint64_t) {});
 
 // Turns the main loop until aDone. The test fails after five seconds.
 void
--- a/standins/platform_load_main.cc
+++ b/standins/platform_load_main.cc
@@ -65,27 +65,28 @@
   {
   }
 
-  void Start(const start_order& aOrder) override
+  void Start(const start_request& aOrder) override
   {
-    mRunning[aOrder.mTask] = { aOrder.mRun, Now() + milliseconds(kWorkMs) };
+    mRunning[aOrder.mTask] = { aOrder.mRunNumber,
+                               Now() + milliseconds(kWorkMs) };
     (*mExecutor)
-      ->OnStartAnswer(aOrder.mTask,
-                      aOrder.mRun,
-                      start_result::Started,
-                      ToClock(Now()),
-                      Now());
+      ->OnStartReply(aOrder.mTask,
+                     aOrder.mRunNumber,
+                     start_result::Started,
+                     ToClock(Now()),
+                     Now());
   }
-  void Stop(const stop_order& aOrder) override
+  void Stop(const stop_request& aOrder) override
   {
     mRunning.erase(aOrder.mTask);
-    (*mExecutor)->OnStopAnswer(aOrder.mTask, aOrder.mRun, true, Now());
+    (*mExecutor)->OnStopReply(aOrder.mTask, aOrder.mRunNumber, true, Now());
   }
-  void Look(const look_order& aOrder) override
+  void Poll(const poll_request& aOrder) override
   {
     mLook = aOrder;
     mLookEnds = Now() + milliseconds(aOrder.mWaitMs);
   }
-  void Expect(const std::string&) override {}
+  void ExpectInstance(const std::string&) override {}
 
   // Answers the look when its wait is over or something has ended.
   void Turn()
@@ -106,7 +107,7 @@
     }
     server_snapshot seen;
     seen.mClockMs = ToClock(now);
-    seen.mBornMs = 1;
+    seen.mStartTimeMs = 1;
     for (const auto& [task, run] : mRunning) {
       seen.mRunning.push_back({ task, run.first, 1 });
     }
@@ -114,7 +115,7 @@
     mEnded.clear();
     uint64_t number = mLook.mNumber;
     mLook = {};
-    (*mExecutor)->OnLookAnswer(number, look_result::Seen, seen, now);
+    (*mExecutor)->OnPollReply(number, poll_result::Ok, seen, now);
   }
 
 private:
@@ -124,7 +125,7 @@
   std::map<task_key, std::pair<uint32_t, instant>> mRunning;
   std::vector<ended_task> mEnded;
   uint64_t mEnds = 0;
-  look_order mLook;
+  poll_request mLook;
   instant mLookEnds{};
 };
 
@@ -153,7 +154,7 @@
     server_announcement said;
     said.mId = "i-" + std::to_string(aIndex);
     said.mService = "s";
-    said.mBornMs = 1;
+    said.mStartTimeMs = 1;
     said.mSequence = 1;
     said.mCapacity = { 32000, 131072, 0 };
     said.mLabels = { "a", "r1-3" };
@@ -180,14 +181,14 @@
       mExecutor.OnSubscription(
         aPeer, aMessage.Asreport_subscription()->wanted, Now());
     } else {
-      mExecutor.OnPulse(aPeer, Now());
+      mExecutor.OnHeartbeat(aPeer, Now());
     }
   }
   void Report(peer_id aEntry, const wire::server_report_msg& aSaid) override
   {
     mTransport->Send(aEntry, MakeMessage(aSaid));
   }
-  void Drop(peer_id aEntry) override { mTransport->Close(aEntry); }
+  void Close(peer_id aEntry) override { mTransport->Close(aEntry); }
 
   void Turn()
   {
