--- a/cactusmast/latency_histogram.h
+++ b/cactusmast/latency_histogram.h
@@ -1,4 +1,4 @@
-// Counts of latencies in fixed buckets, for the metrics page.
+// A histogram of latencies with fixed buckets, for the metrics page.
 
 #ifndef CACTUSMAST_LATENCY_HISTOGRAM_H_
 #define CACTUSMAST_LATENCY_HISTOGRAM_H_
@@ -14,8 +14,8 @@
 class latency_histogram
 {
 public:
-  // Upper bounds in ms. They double from below the shortest tasks to beyond
-  // the usual time limit of 1500 ms.
+  // Inclusive upper bounds in ms. They double from less than the shortest tasks
+  // take to more than the usual timeout of 1500 ms.
   static constexpr std::array<uint32_t, 9> kBoundsMs = { 10,  20,   40,
                                                          80,  160,  320,
                                                          640, 1280, 2560 };
@@ -29,7 +29,8 @@
     mSumMs += double(ms);
   }
 
-  // One more than there are bounds: the last counts what is over all.
+  // Counts by bucket, not cumulative. The last one counts what exceeds all
+  // bounds.
   const std::array<uint64_t, kBoundsMs.size() + 1>& Counts() const
   {
     return mCounts;
--- a/cactusmast/mechanisms.h
+++ b/cactusmast/mechanisms.h
@@ -1,6 +1,6 @@
-// Mechanisms of deciding that can be switched off one by one, to measure what
-// each is worth (scripts/ablation.sh). None of them guards a promise: without
-// them jobs are served later or less often, never twice or in part.
+// Scheduling mechanisms that can be disabled one by one to measure the effect
+// of each (scripts/ablation.sh). No guarantee depends on them: without them
+// jobs are served later or less often, but never twice or in part.
 
 #ifndef CACTUSMAST_MECHANISMS_H_
 #define CACTUSMAST_MECHANISMS_H_
@@ -19,29 +19,34 @@
 {
   // At entries.
   HoldAtStart,    // requests wait for the first configuration
-  WaitForecasts,  // run times and returns from how long callers wait
-  TimelyFirst,    // room goes first to what is still in time
-  LateRefused,    // what can only be late is refused while room is scarce
-  SlowTaskMoves,  // tasks that run too slowly start anew elsewhere
-  ScarcityPrice,  // the last room of fast backend servers costs more
-  StuckLimit,     // few steps that find no place are tried at a time
-  ExecutorSubset, // tasks go to a subset of the executors
-                  // At executors.
-  ServerRecall,   // the backend server is known from the store after a restart
-  EarlyReturn,    // an order that cannot start in its time goes back at once
-  LearnedSpeed,   // of the backend server, from tasks that ended
-  IllnessNoticed, // a backend server that fails all is set aside
-  ReportSpacing,  // changes are gathered before they are reported
+  WaitForecasts,  // caller timeouts forecast run times and reveal resubmissions
+  TimelyFirst,    // tasks that can meet their objective are placed first
+  LateRefused,    // jobs that can only be late are refused while capacity is
+                  // scarce
+  SlowTaskMoves,  // tasks that run too slowly are restarted elsewhere
+  ScarcityPrice,  // the last free capacity of fast backend servers costs more
+  StuckLimit,     // limits how many unplaced steps are tried at a time
+  ExecutorSubset, // tasks are placed on a subset of the executors
+
+  // At executors.
+  ServerRecall,   // a restarted executor restores its backend server from the
+                  // store
+  EarlyReturn,    // a task that cannot start in time is returned at once
+  LearnedSpeed,   // the backend server's speed is estimated from ended tasks
+  IllnessNoticed, // a backend server that fails every task is quarantined
+  ReportSpacing,  // changes are batched before they are reported
   Count
 };
 
+// The name used in settings; "invalid" for a value out of range.
 std::string_view
 Name(mechanism aMechanism);
 
+// The enabled mechanisms; all of them by default.
 class mechanism_set
 {
 public:
-  // All but those named. Errors: BadRequest for a name that is not known.
+  // All mechanisms except those named. Errors: BadRequest for an unknown name.
   static result<mechanism_set> AllBut(const std::vector<std::string>& aNames);
 
   bool Has(mechanism aMechanism) const { return !mOff[size_t(aMechanism)]; }
--- a/cactusmast/normal_tail.cc
+++ b/cactusmast/normal_tail.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kLimit = 4;
-constexpr int kSteps = 512; // from -kLimit to kLimit
+constexpr int kSteps = 512; // intervals from -kLimit to kLimit
 
 std::array<double, kSteps + 1>
 MakeTable()
--- a/cactusmast/sized_task.h
+++ b/cactusmast/sized_task.h
@@ -1,8 +1,8 @@
-// Tasks that declare their size, as coordinators and executors handle them.
+// Tasks with declared sizes, as coordinators and executors handle them.
 //
-// A sized job has steps, a step has tasks that are alike. A backend server
-// has room for as many tasks as its processors, memory and accelerators hold,
-// whatever their number.
+// A sized job consists of steps, and the tasks of one step are alike. A backend
+// server runs as many tasks as fit into its processors, memory and
+// accelerators; their number is not limited otherwise.
 
 #ifndef CACTUSMAST_SIZED_TASK_H_
 #define CACTUSMAST_SIZED_TASK_H_
@@ -16,8 +16,9 @@
 
 namespace cactusmast {
 
-// What a task occupies while it runs, or what a backend server has. Signed,
-// so that free room may be reported as overdrawn.
+// The size of a task, or the capacity or free capacity of a backend server.
+// Signed, so that an overcommitted backend server can report a negative free
+// capacity.
 struct resources
 {
   int64_t mCpuMillis = 0; // thousandths of a core
@@ -45,7 +46,7 @@
   }
 };
 
-// Names a task for as long as its job is known.
+// Identifies a task for as long as its job is known.
 struct task_key
 {
   uint64_t mJob = 0;
@@ -64,7 +65,7 @@
   }
 };
 
-// The 16 hexadecimal digits of a job's identity.
+// The job's identity as 16 hexadecimal digits.
 std::string
 FormatJobId(uint64_t aJob);
 
@@ -76,16 +77,17 @@
 enum class attempt_outcome : uint8_t
 {
   Done,
-  Failed,   // the backend server ran it and reports failure
-  NoRoom,   // not started: could not start in the time given
-  Draining, // not started: the backend server or its executor is stopping, or
+  Failed,   // the backend server ran it and reported a failure
+  NoRoom,   // not started: it could not start in time
+  Draining, // not started: the backend server or its executor is draining, or
             // their data centre is being evacuated
-  Unusable, // not started: the backend server is absent or ill
-  Stopped,  // withdrawn, or its time ran out; it runs no longer
-  Lost,     // it may have run and certainly does not run any more
+  Unusable, // not started: the backend server is absent or quarantined
+  Stopped,  // stopped by its entry or at its deadline; it no longer runs
+  Lost,     // it may have run and certainly no longer runs
   Count
 };
 
+// The name used in logs; "invalid" for a value out of range.
 std::string_view
 Name(attempt_outcome aOutcome);
 
@@ -98,34 +100,36 @@
          aOutcome == attempt_outcome::Unusable;
 }
 
-// What an executor believes of the backend server beside it. Values go over
-// the wire: append only.
+// The state of a backend server as its executor sees it. Values go over the
+// wire: append only.
 enum class server_state : uint8_t
 {
-  Absent, // it has not announced itself, or does not answer
+  Absent, // it has not announced itself, or it does not reply
   Ready,
   Draining,
-  Quarantined, // it answers, but fails or stalls what it starts
-  Evacuated,   // its data centre is to get nothing new
+  Quarantined, // it replies, but fails or stalls what it starts
+  Evacuated,   // its data centre is being evacuated
   Count
 };
 
+// The name used in logs; "invalid" for a value out of range.
 std::string_view
 Name(server_state aState);
 
 // One step of a job as its caller submits it.
 struct job_step
 {
-  uint32_t mCount = 0;
-  resources mSize;
-  uint32_t mDeclaredMs = 0;
+  uint32_t mCount = 0;        // tasks
+  resources mSize;            // of each task
+  uint32_t mDeclaredMs = 0;   // run time of each task; 0: not declared
   std::string mRequiredLabel; // empty: any backend server
-  std::string mDataRack;      // empty: anywhere
+  // Label of the backend servers near its data; empty: it has no data.
+  std::string mDataRack;
 };
 
 struct job_submission
 {
-  std::string mSpec;
+  std::string mSpec; // passed on to backend servers as it is
   std::vector<job_step> mSteps;
 };
 
--- a/cactusmast/startup_queue.h
+++ b/cactusmast/startup_queue.h
@@ -1,13 +1,14 @@
-// Requests that reach an entry before its first configuration.
+// Holds requests that reach an entry before its first configuration.
 //
 // An entry listens before it knows any route, and the configuration arrives
-// some tens of milliseconds later. When all entries start at once, nobody else
-// can take what comes meanwhile: each request refused then is lost to its
-// caller, who notices a "try again later" although the entry serves the next
-// request in full. Such requests therefore wait, in the order in which they
-// came, for at most kStartupHold; no more of them than the memory allows.
+// some tens of milliseconds later. When all entries start at once, no other
+// entry can serve the requests that arrive in between, and refusing them would
+// turn callers away although the entry can serve them a moment later. They are
+// therefore held in order of arrival for at most kStartupHold, up to
+// kMaxStartupBytes in total.
 //
-// Invariants: each request leaves once, through TakeAll or TakeOverdue.
+// Invariant: each accepted request is returned exactly once, by TakeAll or
+// TakeOverdue.
 
 #ifndef CACTUSMAST_STARTUP_QUEUE_H_
 #define CACTUSMAST_STARTUP_QUEUE_H_
@@ -21,18 +22,22 @@
 
 namespace cactusmast {
 
-// Another entry, if there is one, serves a caller that is refused by then.
-// Without any configuration after this time the store is away.
+// How long a request is held. A configuration that is later than this means
+// that the store is unreachable; the caller is then refused and can try another
+// entry.
 constexpr duration kStartupHold = std::chrono::milliseconds(250);
+// Total size of all held requests.
 constexpr size_t kMaxStartupBytes = 8u << 20;
 
 class startup_queue
 {
 public:
-  // False when there is no more space; the request is then to be refused.
+  // aBytes: size of the request. False when the queue is full; the caller must
+  // then refuse the request.
   bool Add(caller_id aRequest, size_t aBytes, instant aNow);
+  // Removes and returns all requests.
   std::vector<caller_id> TakeAll();
-  // Those that have waited for kStartupHold.
+  // Removes and returns the requests that have waited for kStartupHold.
   std::vector<caller_id> TakeOverdue(instant aNow);
   bool IsEmpty() const { return mHeld.empty(); }
 
--- a/cactusmast/time_spans.h
+++ b/cactusmast/time_spans.h
@@ -1,4 +1,4 @@
-// Spans of time as numbers of milliseconds.
+// Conversion of durations to milliseconds.
 
 #ifndef CACTUSMAST_TIME_SPANS_H_
 #define CACTUSMAST_TIME_SPANS_H_
@@ -9,14 +9,14 @@
 
 namespace cactusmast {
 
-// Whole milliseconds, towards zero.
+// Whole milliseconds, rounded towards zero.
 inline int64_t
 ToMs(duration aSpan)
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(aSpan).count();
 }
 
-// Negative when aTo is earlier.
+// From aFrom to aTo, in ms; negative when aTo is earlier.
 inline double
 MsBetween(instant aFrom, instant aTo)
 {
