--- a/cactusmast/mechanisms.cc
+++ b/cactusmast/mechanisms.cc
@@ -26,7 +26,7 @@
 result<mechanism_set>
 mechanism_set::AllBut(const std::vector<std::string>& aNames)
 {
-  mechanism_set made;
+  mechanism_set enabled;
   for (const std::string& name : aNames) {
     auto found = std::find(kMechanisms.begin(), kMechanisms.end(), name);
     if (found == kMechanisms.end()) {
@@ -35,9 +35,9 @@
                      "operator",
                      "no mechanism is named " + name);
     }
-    made.mOff.set(size_t(found - kMechanisms.begin()));
+    enabled.mDisabled.set(size_t(found - kMechanisms.begin()));
   }
-  return made;
+  return enabled;
 }
 
 } // namespace cactusmast
--- a/cactusmast/mechanisms.h
+++ b/cactusmast/mechanisms.h
@@ -49,10 +49,13 @@
   // All mechanisms except those named. Errors: BadRequest for an unknown name.
   static result<mechanism_set> AllBut(const std::vector<std::string>& aNames);
 
-  bool Has(mechanism aMechanism) const { return !mOff[size_t(aMechanism)]; }
+  bool Has(mechanism aMechanism) const
+  {
+    return !mDisabled[size_t(aMechanism)];
+  }
 
 private:
-  std::bitset<size_t(mechanism::Count)> mOff;
+  std::bitset<size_t(mechanism::Count)> mDisabled;
 };
 
 } // namespace cactusmast
--- a/cactusmast/normal_tail.cc
+++ b/cactusmast/normal_tail.cc
@@ -6,18 +6,18 @@
 namespace cactusmast {
 namespace {
 
-constexpr double kLimit = 4;
-constexpr int kSteps = 512; // intervals from -kLimit to kLimit
+constexpr double kMaxDeviations = 4;
+constexpr int kSteps = 512; // intervals from -kMaxDeviations to kMaxDeviations
 
 std::array<double, kSteps + 1>
 MakeTable()
 {
-  std::array<double, kSteps + 1> made{};
+  std::array<double, kSteps + 1> table{};
   for (int i = 0; i <= kSteps; i++) {
-    double deviations = -kLimit + 2 * kLimit * i / kSteps;
-    made[size_t(i)] = 0.5 * std::erfc(deviations / std::sqrt(2.0));
+    double deviations = -kMaxDeviations + 2 * kMaxDeviations * i / kSteps;
+    table[size_t(i)] = 0.5 * std::erfc(deviations / std::sqrt(2.0));
   }
-  return made;
+  return table;
 }
 
 } // namespace
@@ -26,16 +26,17 @@
 NormalTail(double aDeviations)
 {
   static const std::array<double, kSteps + 1> kTable = MakeTable();
-  if (aDeviations <= -kLimit) {
+  if (aDeviations <= -kMaxDeviations) {
     return 1;
   }
-  if (!(aDeviations < kLimit)) {
+  if (!(aDeviations < kMaxDeviations)) {
     return 0;
   }
-  double place = (aDeviations + kLimit) * (kSteps / (2 * kLimit));
-  auto below = size_t(place);
-  double part = place - double(below);
-  return kTable[below] + part * (kTable[below + 1] - kTable[below]);
+  double position =
+    (aDeviations + kMaxDeviations) * (kSteps / (2 * kMaxDeviations));
+  auto below = size_t(position);
+  double fraction = position - double(below);
+  return kTable[below] + fraction * (kTable[below + 1] - kTable[below]);
 }
 
 } // namespace cactusmast
--- a/cactusmast/sized_task.cc
+++ b/cactusmast/sized_task.cc
@@ -6,7 +6,7 @@
 namespace cactusmast {
 namespace {
 
-constexpr size_t kJobDigits = 16;
+constexpr size_t kJobIdDigits = 16;
 
 constexpr std::array<std::string_view, size_t(attempt_outcome::Count)>
   kOutcomes = { "done",     "failed",  "no_room", "leaving",
@@ -34,8 +34,8 @@
 FormatJobId(uint64_t aJob)
 {
   constexpr char kDigits[] = "0123456789abcdef";
-  std::string text(kJobDigits, '0');
-  for (size_t i = kJobDigits; i-- > 0; aJob >>= 4) {
+  std::string text(kJobIdDigits, '0');
+  for (size_t i = kJobIdDigits; i-- > 0; aJob >>= 4) {
     text[i] = kDigits[aJob & 15];
   }
   return text;
@@ -46,7 +46,7 @@
 {
   const char* end = aText.data() + aText.size();
   auto [rest, error] = std::from_chars(aText.data(), end, *aOut, 16);
-  return aText.size() == kJobDigits && error == std::errc() && rest == end;
+  return aText.size() == kJobIdDigits && error == std::errc() && rest == end;
 }
 
 } // namespace cactusmast
--- a/cactusmast/sized_task.h
+++ b/cactusmast/sized_task.h
@@ -25,10 +25,10 @@
   int64_t mMemoryMb = 0;
   int64_t mGpus = 0;
 
-  bool FitsIn(const resources& aRoom) const
+  bool FitsIn(const resources& aCapacity) const
   {
-    return mCpuMillis <= aRoom.mCpuMillis && mMemoryMb <= aRoom.mMemoryMb &&
-           mGpus <= aRoom.mGpus;
+    return mCpuMillis <= aCapacity.mCpuMillis &&
+           mMemoryMb <= aCapacity.mMemoryMb && mGpus <= aCapacity.mGpus;
   }
   resources& operator+=(const resources& aOther)
   {
@@ -140,8 +140,8 @@
 {
   size_t operator()(const cactusmast::task_key& aKey) const
   {
-    uint64_t place = uint64_t(aKey.mStep) << 32 | aKey.mIndex;
-    return size_t((aKey.mJob ^ place) * 0x9e3779b97f4a7c15u);
+    uint64_t stepAndIndex = uint64_t(aKey.mStep) << 32 | aKey.mIndex;
+    return size_t((aKey.mJob ^ stepAndIndex) * 0x9e3779b97f4a7c15u);
   }
 };
 
--- a/cactusmast/slot_plan.cc
+++ b/cactusmast/slot_plan.cc
@@ -7,9 +7,9 @@
 void
 slot_plan::Clear(size_t aWorkers)
 {
-  mTimes.resize(aWorkers);
-  mFirst.assign(aWorkers, 0);
-  for (std::vector<double>& times : mTimes) {
+  mFreeTimes.resize(aWorkers);
+  mFirstFree.assign(aWorkers, 0);
+  for (std::vector<double>& times : mFreeTimes) {
     times.clear();
   }
 }
@@ -17,19 +17,19 @@
 void
 slot_plan::AddSlot(uint32_t aWorker, double aFreeIn)
 {
-  std::vector<double>& times = mTimes[aWorker];
+  std::vector<double>& times = mFreeTimes[aWorker];
   times.push_back(aFreeIn);
-  mFirst[aWorker] =
-    times.size() == 1 ? aFreeIn : std::min(mFirst[aWorker], aFreeIn);
+  mFirstFree[aWorker] =
+    times.size() == 1 ? aFreeIn : std::min(mFirstFree[aWorker], aFreeIn);
 }
 
 void
-slot_plan::Take(uint32_t aWorker, double aRun)
+slot_plan::Take(uint32_t aWorker, double aRunTime)
 {
-  std::vector<double>& times = mTimes[aWorker];
+  std::vector<double>& times = mFreeTimes[aWorker];
   auto first = std::min_element(times.begin(), times.end());
-  *first += aRun;
-  mFirst[aWorker] = *std::min_element(times.begin(), times.end());
+  *first += aRunTime;
+  mFirstFree[aWorker] = *std::min_element(times.begin(), times.end());
 }
 
 } // namespace cactusmast
--- a/cactusmast/slot_plan.h
+++ b/cactusmast/slot_plan.h
@@ -19,16 +19,16 @@
   // Adds a slot of aWorker that is free in aFreeIn.
   void AddSlot(uint32_t aWorker, double aFreeIn);
 
-  bool HasSlot(uint32_t aWorker) const { return !mTimes[aWorker].empty(); }
+  bool HasSlot(uint32_t aWorker) const { return !mFreeTimes[aWorker].empty(); }
   // When the first slot of aWorker is free. Requires HasSlot(aWorker).
-  double FirstFree(uint32_t aWorker) const { return mFirst[aWorker]; }
-  // Enters a task that occupies the first free slot of aWorker for aRun.
+  double FirstFree(uint32_t aWorker) const { return mFirstFree[aWorker]; }
+  // Enters a task that occupies the first free slot of aWorker for aRunTime.
   // Requires HasSlot(aWorker).
-  void Take(uint32_t aWorker, double aRun);
+  void Take(uint32_t aWorker, double aRunTime);
 
 private:
-  std::vector<std::vector<double>> mTimes; // by worker and slot
-  std::vector<double> mFirst;              // the minimum by worker
+  std::vector<std::vector<double>> mFreeTimes; // by worker and slot
+  std::vector<double> mFirstFree;              // the minimum by worker
 };
 
 } // namespace cactusmast
