--- a/cactusmast/entry_directory.cc
+++ b/cactusmast/entry_directory.cc
@@ -7,17 +7,18 @@
 
 using std::chrono::milliseconds;
 
-// An entry that restarts is back within about a second; the pause between two
-// dials decides how much later its executors serve it.
+// An entry that restarts is back within about a second. The backoff between two
+// dials adds to the time until executors serve it again.
 constexpr duration kMinBackoff = milliseconds(100);
 constexpr duration kMaxBackoff = milliseconds(400);
-// One that was there a short while ago is probably being restarted: all entries
-// that lose power at once come back 0.3 to 3 s later, and until an executor
-// reaches them their callers are turned away.
+// An entry that was connected shortly before is probably restarting. Entries
+// that all lose power at once come back after 0.3 to 3 s, and refuse their
+// callers until they are connected to an executor.
 constexpr duration kMaxBackoffAtFirst = milliseconds(100);
 constexpr duration kRestartTime = std::chrono::seconds(8);
 constexpr duration kForgetAfter = std::chrono::seconds(60);
-// An entry that restarts is not news to those that it was named to before.
+// An entry stays in LiveAddresses() for this long after its connection is lost,
+// so that a restart does not change the list that others were sent.
 constexpr duration kSeenFor = std::chrono::seconds(10);
 
 } // namespace
--- a/cactusmast/entry_directory.h
+++ b/cactusmast/entry_directory.h
@@ -1,9 +1,10 @@
-// The addresses of entries that a process knows, and when to dial each.
+// The addresses of entries that a process knows, and when to dial each of them.
 //
-// Sources are the settings, the store's table and what other processes say.
-// Any one suffices: with the store away, one live seed leads to the others. An
-// address that only others named is forgotten after it could not be reached
-// for kForgetAfter, so that replaced entries are not dialled for ever.
+// Addresses come from the settings, from the store's table and from other
+// processes. Each source suffices: while the store is unreachable, one live
+// address from the settings leads to the others. An address that is not pinned
+// is removed when it could not be reached for kForgetAfter, so that replaced
+// entries are not dialled forever.
 
 #ifndef CACTUSMAST_ENTRY_DIRECTORY_H_
 #define CACTUSMAST_ENTRY_DIRECTORY_H_
@@ -19,23 +20,28 @@
 class entry_directory
 {
 public:
+  // aOwnAddress: of this process if it is an entry, otherwise empty.
   explicit entry_directory(std::string aOwnAddress)
     : mOwn(std::move(aOwnAddress))
   {
   }
 
-  // True when it was not known. A pinned address is never forgotten.
+  // True if the address was not known. A pinned address is never removed.
   bool Add(const std::string& aAddress, bool aPinned, instant aNow);
   void Unpin(const std::string& aAddress);
+  // A connection to the address was opened or closed.
   void OnUp(const std::string& aAddress, instant aNow);
   void OnDown(const std::string& aAddress, instant aNow);
 
-  // Addresses to dial now; each is due again after a pause that doubles.
+  // Addresses to dial now. Each is due again after a backoff that doubles up to
+  // a limit.
   std::vector<std::string> Due(instant aNow);
-  // All addresses that are connected or were a short while ago, and the own one
-  // if there is one. Only what this process has seen itself: addresses that
-  // processes named to each other would never be forgotten.
+  // The addresses that are connected or were so shortly before, and the own
+  // address if there is one. Addresses that this process only got from others
+  // are left out: processes that told them to each other would never forget
+  // them.
   std::vector<std::string> LiveAddresses(instant aNow) const;
+  // The number of connected addresses.
   size_t Connected() const;
   // Changes whenever an address is added to LiveAddresses().
   uint64_t Revision() const { return mRevision; }
@@ -45,10 +51,12 @@
   {
     bool mPinned = false;
     bool mUp = false;
-    bool mWasUp = false; // at some time
-    instant mSince{};    // it is up, or was last up or learnt
+    bool mWasUp = false; // has been connected at some time
+    // When it was connected, or, while it is not, when it was last connected or
+    // else added.
+    instant mSince{};
     instant mNextDial{};
-    duration mBackoff{};
+    duration mBackoff{}; // between the next dial and the one after it
   };
 
   static bool IsSeen(const record& aRecord, instant aNow);
--- a/cactusmast/executor_subset.cc
+++ b/cactusmast/executor_subset.cc
@@ -7,15 +7,16 @@
 
 using std::chrono::milliseconds;
 
-// With less room than this, the next wide job would find none.
+// With a smaller free share than this, the next large job would not be placed.
 constexpr double kShortShare = 0.15;
+// The subset shrinks only while at least this share is free.
 constexpr double kPlentyShare = 0.4;
-// Each time by this part of the size.
+// The size changes by this fraction of itself at a time.
 constexpr size_t kWidenDivisor = 4;
 constexpr size_t kNarrowDivisor = 8;
-// The reports of new members are back by then.
+// New members have sent their first reports by then.
 constexpr duration kWidenInterval = milliseconds(20);
-// Load comes in waves of some seconds.
+// The load varies in waves of a few seconds.
 constexpr duration kNarrowAfter = milliseconds(5000);
 constexpr duration kNarrowInterval = milliseconds(1000);
 
@@ -59,7 +60,7 @@
   if (aFreeShare < kPlentyShare || aShort) {
     mScarceAt = aNow;
   }
-  // With fewer members than there are to be, all that are usable are in use.
+  // With fewer members than the size, all usable executors are members already.
   bool full = mMembers.size() == mSize;
   bool isShort = aFreeShare < kShortShare || aShort;
   if (full && isShort && aNow - mResizedAt >= kWidenInterval) {
--- a/cactusmast/executor_subset.h
+++ b/cactusmast/executor_subset.h
@@ -1,15 +1,15 @@
-// Which executors an entry places its tasks on.
+// The executors that an entry places its tasks on.
 //
-// An entry that heard from every executor would spend most of its time on
-// reports once there are hundreds. It asks a subset for reports instead, and
-// places on that subset alone. Members are taken in a fixed order: those of
-// the entry's own data centre first, then by a hash of both names, so that
-// entries spread over the executors without talking to each other and the loss
-// of one executor changes one member.
+// With hundreds of executors, an entry that got reports from all of them would
+// spend most of its time on reports. It subscribes to the reports of a subset
+// instead, and places tasks on that subset only. Members are taken in a fixed
+// order: executors of the entry's own data centre first, then by a hash of both
+// names. Entries thus spread over the executors without communicating, and the
+// loss of an executor changes only one member.
 //
-// The subset is widened while its room is short, so that load which falls on a
-// few entries still reaches every backend server, and narrowed after a while of
-// plenty.
+// The subset grows while its free capacity is scarce, so that load on a few
+// entries can still use all backend servers, and shrinks after some seconds of
+// ample free capacity.
 //
 //   executor_subset subset("entry-1", "a");
 //   subset.Add(7, "side-7", "a");
@@ -19,8 +19,7 @@
 //
 // Invariants:
 // - Only usable executors are members.
-// - While there are at least Size() usable executors, exactly Size() are
-//   members; else all are.
+// - After Update(), min(Size(), number of usable executors) are members.
 
 #ifndef CACTUSMAST_EXECUTOR_SUBSET_H_
 #define CACTUSMAST_EXECUTOR_SUBSET_H_
@@ -36,12 +35,13 @@
 
 namespace cactusmast {
 
-// Enough for the widest ordinary job, and for some of each kind of backend
-// server to be among them.
+// Large enough for the largest ordinary job, and to contain some backend
+// servers of each kind.
 constexpr size_t kMinSubsetSize = 32;
-// Reports of more cost an entry more than the room among them is worth.
+// With more members, the reports cost an entry more than the additional
+// capacity is worth.
 constexpr size_t kMaxSubsetSize = 96;
-// Of an entry that places on all executors.
+// The size for an entry that places tasks on all executors.
 constexpr size_t kUnlimitedSubset = SIZE_MAX;
 
 class executor_subset
@@ -63,27 +63,27 @@
   {
   }
 
-  // Not usable at first.
+  // The executor is not usable until SetUsable.
   void Add(peer_id aPeer,
            const std::string& aName,
            const std::string& aDataCenter);
   void Remove(peer_id aPeer);
   void SetUsable(peer_id aPeer, bool aUsable);
 
-  // aFreeShare: the unused part of the members' processors, 0 to 1. aShort: a
-  // task found no place among them. True when the size has changed.
+  // aFreeShare: the free share of the members' processors, 0 to 1. aShort: a
+  // task was not placed on any member. True if the size has changed.
   bool AdjustSize(double aFreeShare, bool aShort, instant aNow);
 
-  // Who became a member and who no longer is one since the last call. A
-  // removed executor is in neither.
+  // Recomputes the members and returns the changes since the last call. An
+  // executor that was removed is in neither list.
   change Update();
 
   bool Has(peer_id aPeer) const { return mMembers.count(aPeer) > 0; }
-  // How many members there are to be.
+  // The intended number of members; there are fewer if too few are usable.
   size_t Size() const { return mSize; }
 
 private:
-  // Own data centre first, then by hash.
+  // Whether it is in another data centre, then the hash of both names.
   using rank = std::tuple<bool, uint64_t, peer_id>;
 
   bool Resize(size_t aSize, instant aNow);
@@ -91,12 +91,12 @@
   std::string mOwner;
   std::string mDataCenter;
   std::map<peer_id, rank> mRanks;
-  std::set<rank> mUsable;
+  std::set<rank> mUsable; // in the order in which members are taken
   std::set<peer_id> mMembers;
   size_t mSize;
   instant mResizedAt{};
-  instant mScarceAt{}; // when there was last no plenty of room
-  bool mStale = false; // mMembers may not be what mUsable and mSize say
+  instant mScarceAt{}; // when free capacity was last not ample
+  bool mStale = false; // mUsable or mSize changed since mMembers was computed
 };
 
 } // namespace cactusmast
--- a/cactusmast/placement.cc
+++ b/cactusmast/placement.cc
@@ -9,42 +9,48 @@
 namespace cactusmast {
 namespace {
 
-// Longer waits are spent at the entry, where any backend server that gets
-// free may take the task. Short ones at the backend server save the message
-// and the idle time between an end and the next order, about 2 ms plus the
-// interval of reports.
+// A task that would wait longer than this stays at the entry, so that any
+// backend server that becomes free can get it. A short wait at the backend
+// server avoids the idle time between the end of a task and the next dispatch,
+// about 2 ms plus the interval of reports.
 constexpr double kMaxServerWaitMs = 30;
-// Entries that hear the same reports would all choose the same backend
-// server. This share of the expected time is drawn at random.
+// The cost is increased by a random part of up to this share, because entries
+// that get the same reports would otherwise all choose the same backend server.
 constexpr double kSpread = 0.1;
-// Another data centre is about this much farther there and back.
+// Additional round-trip time to another data centre.
 constexpr double kOtherDataCenterMs = 1;
-// Order, start, look and report take about this long beside the run itself.
+// Dispatch, start, poll and report together take about this long in addition
+// to the run time.
 constexpr double kOverheadMs = 12;
-// Waits are forecast to about this many milliseconds.
+// Standard deviation of the error of forecast waits.
 constexpr double kWaitSigmaMs = 20;
-// What a wait counts for beside its length: it rests on ends that are only
-// forecast, other entries order there meanwhile, and an order that does not
-// start in time comes back when it is too late elsewhere.
+// Cost of any wait in addition to its length: it depends on ends of tasks that
+// are only forecast, other entries dispatch to the same backend server in the
+// meantime, and a task that does not start in time comes back when it is too
+// late to start it elsewhere.
 constexpr double kWaitCostMs = 300;
-// What a certain loss counts for against time, in ms: an answer after the
-// deadline is worth nothing, one after the objective a fifth.
+// Costs of a certain miss of the deadline and of the objective. An answer after
+// the deadline is worth nothing, one after the objective a fifth of one in
+// time.
 constexpr double kMissCostMs = 4000;
 constexpr double kLateCostMs = 0.8 * kMissCostMs;
-// A task is kept waiting for a busy backend server only if that saves this
-// much; forecasts are not better than that.
+// A task waits for a busy backend server only if that lowers the cost by at
+// least this much. Smaller differences are within the error of forecasts.
 constexpr double kWorthWaitingMs = 150;
-// A backend server at least this much faster than the middle one is scarce: at
-// full use a task has to save this many ms to get its last room.
+// A backend server counts as fast if its slowness is at most this share of the
+// median. Its last free capacity costs up to kScarceMs in addition, so that
+// only tasks that save at least as much get it.
 constexpr double kFastShare = 0.8;
 constexpr double kScarceMs = 400;
-// A task that is late more probably than this yields to those that are not.
+// A task that is more likely than this to be late yields to those that can meet
+// their objective.
 constexpr double kTooLateRisk = 0.6;
-// With less chance than this a task is not started any more.
+// A task that misses its deadline with a higher risk than this everywhere is
+// not started.
 constexpr double kInfeasibleRisk = 0.98;
-// Where there is no room, some time passes until there is.
+// The wait is at least this long where there is no free capacity.
 constexpr double kLeastWaitMs = 3;
-// Before a backend server has ended a task.
+// Mean run time that is assumed until a backend server has ended a task.
 constexpr double kUnknownMeanRunMs = 200;
 
 bool
@@ -69,7 +75,9 @@
          (step.mRequiredLabel.empty() || HasLabel(aView, step.mRequiredLabel));
 }
 
-// Rises steeply over the last half of the room.
+// The additional cost of the last free capacity of a fast backend server. It
+// rises steeply once half of the capacity is in use; 0 for other backend
+// servers.
 double
 ScarcityMs(const server_view& aView, double aMedianSlowness)
 {
@@ -83,8 +91,8 @@
   return kScarceMs * square * square;
 }
 
-// Of ending after the objective. Estimate and objective err together, so only
-// the wait is uncertain.
+// The risk of ending after the objective. The objective is proportional to the
+// estimate and has the same error, so only the wait is uncertain.
 double
 LateRisk(const placement_request& aRequest, double aRunMs, double aWaitMs)
 {
@@ -127,8 +135,9 @@
   if (aSize.FitsIn(aView.mFree) && aView.mQueuedCpuMillis == 0) {
     return 0;
   }
-  // The executor's own forecast, and behind it what this entry has ordered
-  // since. Room is freed at the rate at which the running tasks end.
+  // The executor's own forecast, plus the time for the tasks that this entry
+  // has dispatched since. Capacity becomes free at the rate at which running
+  // tasks end.
   double meanRunMs =
     aView.mMeanRunMs > 0 ? aView.mMeanRunMs : kUnknownMeanRunMs;
   double ahead = double(aView.mUnreportedCpuMillis) /
@@ -188,7 +197,7 @@
     bool soon = made.mWaitMs <= kMaxServerWaitMs;
     double& best = soon ? nowCost : laterCost;
     if (made.mCost >= best) {
-      continue; // the random part only adds
+      continue; // the random part only increases the cost
     }
     double cost = made.mCost * (1 + kSpread * aRandom.NextUniform());
     if (cost < best) {
--- a/cactusmast/testing/executor_subset_test.cc
+++ b/cactusmast/testing/executor_subset_test.cc
@@ -1,5 +1,5 @@
-// Which executors entries take into their subsets, and how the size follows
-// the room.
+// Tests which executors entries take into their subsets, and how the size of a
+// subset follows its free capacity.
 
 #include <doctest/doctest.h>
 
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("a small fleet is in every entry's subset whole")
+TEST_CASE("a fleet smaller than a subset is in it completely")
 {
   executor_subset subset = MakeSubset("entry", 11, 4);
   CHECK(subset.Update().mJoined.size() == 11);
@@ -67,7 +67,7 @@
   }
 }
 
-TEST_CASE("subsets of many entries cover the fleet evenly")
+TEST_CASE("the subsets of many entries cover the fleet evenly")
 {
   std::map<peer_id, size_t> uses;
   constexpr size_t kEntries = 40;
@@ -86,7 +86,7 @@
   }
 }
 
-TEST_CASE("a member that is lost is replaced by one other")
+TEST_CASE("a lost member is replaced by exactly one executor")
 {
   executor_subset subset = MakeSubset("entry", 100, 1);
   subset.Update();
@@ -98,7 +98,7 @@
   CHECK(Members(subset, 100).size() == kMinSubsetSize);
 }
 
-TEST_CASE("a member that cannot take tasks makes room for another")
+TEST_CASE("a member that becomes unusable is replaced by another executor")
 {
   executor_subset subset = MakeSubset("entry", 100, 1);
   subset.Update();
@@ -109,7 +109,7 @@
   CHECK(change.mJoined.size() == 1);
 }
 
-TEST_CASE("a subset is widened while its room is short, up to a limit")
+TEST_CASE("a subset grows while its free capacity is scarce, up to the maximum")
 {
   executor_subset subset = MakeSubset("entry", 500, 1);
   instant now = seconds(1);
@@ -122,7 +122,7 @@
   CHECK(Members(subset, 500).size() == kMaxSubsetSize);
 }
 
-TEST_CASE("a subset that is still being filled is not widened for want of room")
+TEST_CASE("a subset with fewer members than its size does not grow")
 {
   executor_subset subset = MakeSubset("entry", 0, 1);
   instant now = seconds(1);
@@ -136,7 +136,7 @@
   CHECK(subset.Size() == kMinSubsetSize);
 }
 
-TEST_CASE("a subset is narrowed only after seconds of plenty")
+TEST_CASE("a subset shrinks only after seconds of ample free capacity")
 {
   executor_subset subset = MakeSubset("entry", 500, 1);
   subset.Update();
@@ -152,7 +152,7 @@
   CHECK(subset.Size() == kMinSubsetSize);
 }
 
-TEST_CASE("random changes: members are the first usable ones in the order")
+TEST_CASE("after random changes the members are usable and as many as intended")
 {
   std::mt19937 random(7);
   constexpr size_t kExecutors = 120;
@@ -184,10 +184,10 @@
   }
 }
 
-TEST_CASE("a subset whose executors all go is replaced, and no job fails")
+TEST_CASE("a subset whose executors are all lost is replaced and no job fails")
 {
-  // Guards against an entry that refuses while executors outside its subset
-  // have room.
+  // Guards against an entry that refuses jobs while executors outside its
+  // subset have free capacity.
   constexpr size_t kServers = 60;
   sized_world world(1, kServers, 70);
   world.Run(milliseconds(200));
@@ -206,10 +206,10 @@
   CHECK(world.Violations().empty());
 }
 
-TEST_CASE("more work than a subset holds reaches executors outside it")
+TEST_CASE("work beyond the capacity of a subset reaches executors outside it")
 {
-  // Guards against an entry that gets most of the callers and leaves the
-  // backend servers of the others idle.
+  // Guards against idle backend servers while one entry gets most of the
+  // callers and its subset is full.
   constexpr size_t kServers = 60;
   sized_world world(1, kServers, 71);
   world.Run(milliseconds(200));
@@ -222,10 +222,11 @@
   CHECK(world.Violations().empty());
 }
 
-TEST_CASE("the quiet after a job is not taken for the loss of its executors")
+TEST_CASE(
+  "an idle connection after a job is not taken for the loss of its executor")
 {
-  // Guards against connections that are dropped for want of messages that
-  // nobody has to send, and with them the tasks of the next job.
+  // Guards against closing an idle connection because no messages arrive that
+  // nobody has to send; the tasks of the next job would be lost with it.
   sized_world world(2, 4, 73);
   world.Submit(0, 4, 60);
   world.Run(seconds(2));
@@ -233,10 +234,11 @@
   CHECK(world.CountEnding(job_ending::Completed) == 1);
 }
 
-TEST_CASE("an executor that vanished while idle costs its first tasks a second")
+TEST_CASE("tasks dispatched over an idle connection that is lost run elsewhere")
 {
-  // Guards against orders into a connection that is dead: nothing is expected
-  // over a quiet one, so the order itself has to show it.
+  // Guards against dispatches over a dead connection. No reports are due over
+  // an idle one, so only the missing reply to the dispatch shows that it is
+  // dead.
   sized_world world(1, 2, 72);
   world.Run(seconds(2));
   world.Cut(0, 0, seconds(20));
