--- a/cactusmast/entry_directory.cc
+++ b/cactusmast/entry_directory.cc
@@ -14,19 +14,19 @@
 // An entry that was connected shortly before is probably restarting. Entries
 // that all lose power at once come back after 0.3 to 3 s, and refuse their
 // callers until they are connected to an executor.
-constexpr duration kMaxBackoffAtFirst = milliseconds(100);
-constexpr duration kRestartTime = std::chrono::seconds(8);
-constexpr duration kForgetAfter = std::chrono::seconds(60);
+constexpr duration kMaxRestartBackoff = milliseconds(100);
+constexpr duration kMaxRestartTime = std::chrono::seconds(8);
+constexpr duration kRemoveAfter = std::chrono::seconds(60);
 // An entry stays in LiveAddresses() for this long after its connection is lost,
 // so that a restart does not change the list that others were sent.
-constexpr duration kSeenFor = std::chrono::seconds(10);
+constexpr duration kLiveAfterDisconnect = std::chrono::seconds(10);
 
 } // namespace
 
 bool
 entry_directory::Add(const std::string& aAddress, bool aPinned, instant aNow)
 {
-  if (aAddress == mOwn || aAddress.empty()) {
+  if (aAddress == mOwnAddress || aAddress.empty()) {
     return false;
   }
   auto [found, added] = mRecords.try_emplace(aAddress);
@@ -55,9 +55,9 @@
   if (found == mRecords.end()) {
     return;
   }
-  mRevision += IsSeen(found->second, aNow) ? 0 : 1;
-  found->second.mUp = true;
-  found->second.mWasUp = true;
+  mRevision += IsLive(found->second, aNow) ? 0 : 1;
+  found->second.mConnected = true;
+  found->second.mEverConnected = true;
   found->second.mSince = aNow;
   found->second.mBackoff = kMinBackoff;
 }
@@ -69,7 +69,7 @@
   if (found == mRecords.end()) {
     return;
   }
-  found->second.mUp = false;
+  found->second.mConnected = false;
   found->second.mSince = aNow;
   found->second.mNextDial = aNow;
 }
@@ -79,17 +79,18 @@
 {
   std::vector<std::string> due;
   for (auto at = mRecords.begin(); at != mRecords.end();) {
-    record& one = at->second;
-    if (!one.mUp && !one.mPinned && aNow - one.mSince > kForgetAfter) {
+    record& known = at->second;
+    if (!known.mConnected && !known.mPinned &&
+        aNow - known.mSince > kRemoveAfter) {
       at = mRecords.erase(at);
       continue;
     }
-    if (!one.mUp && aNow >= one.mNextDial) {
+    if (!known.mConnected && aNow >= known.mNextDial) {
       due.push_back(at->first);
-      one.mNextDial = aNow + one.mBackoff;
-      bool restarting = aNow - one.mSince < kRestartTime;
-      one.mBackoff = std::min(restarting ? kMaxBackoffAtFirst : kMaxBackoff,
-                              one.mBackoff * 2);
+      known.mNextDial = aNow + known.mBackoff;
+      bool restarting = aNow - known.mSince < kMaxRestartTime;
+      known.mBackoff = std::min(restarting ? kMaxRestartBackoff : kMaxBackoff,
+                                known.mBackoff * 2);
     }
     ++at;
   }
@@ -97,24 +98,25 @@
 }
 
 bool
-entry_directory::IsSeen(const record& aRecord, instant aNow)
+entry_directory::IsLive(const record& aRecord, instant aNow)
 {
-  return aRecord.mUp || (aRecord.mWasUp && aNow - aRecord.mSince < kSeenFor);
+  return aRecord.mConnected || (aRecord.mEverConnected &&
+                                aNow - aRecord.mSince < kLiveAfterDisconnect);
 }
 
 std::vector<std::string>
 entry_directory::LiveAddresses(instant aNow) const
 {
-  std::vector<std::string> seen;
-  for (const auto& [address, one] : mRecords) {
-    if (IsSeen(one, aNow)) {
-      seen.push_back(address);
+  std::vector<std::string> live;
+  for (const auto& [address, known] : mRecords) {
+    if (IsLive(known, aNow)) {
+      live.push_back(address);
     }
   }
-  if (!mOwn.empty()) {
-    seen.push_back(mOwn);
+  if (!mOwnAddress.empty()) {
+    live.push_back(mOwnAddress);
   }
-  return seen;
+  return live;
 }
 
 size_t
@@ -122,7 +124,7 @@
 {
   return size_t(
     std::count_if(mRecords.begin(), mRecords.end(), [](const auto& aRecord) {
-      return aRecord.second.mUp;
+      return aRecord.second.mConnected;
     }));
 }
 
--- a/cactusmast/entry_directory.h
+++ b/cactusmast/entry_directory.h
@@ -3,7 +3,7 @@
 // Addresses come from the settings, from the store's table and from other
 // processes. Each source suffices: while the store is unreachable, one live
 // address from the settings leads to the others. An address that is not pinned
-// is removed when it could not be reached for kForgetAfter, so that replaced
+// is removed when it could not be reached for kRemoveAfter, so that replaced
 // entries are not dialled forever.
 
 #ifndef CACTUSMAST_ENTRY_DIRECTORY_H_
@@ -22,7 +22,7 @@
 public:
   // aOwnAddress: of this process if it is an entry, otherwise empty.
   explicit entry_directory(std::string aOwnAddress)
-    : mOwn(std::move(aOwnAddress))
+    : mOwnAddress(std::move(aOwnAddress))
   {
   }
 
@@ -37,7 +37,7 @@
   // a limit.
   std::vector<std::string> Due(instant aNow);
   // The addresses that are connected or were so shortly before, and the own
-  // address if there is one. Addresses that this process only got from others
+  // address if there is known. Addresses that this process only got from others
   // are left out: processes that told them to each other would never forget
   // them.
   std::vector<std::string> LiveAddresses(instant aNow) const;
@@ -50,8 +50,8 @@
   struct record
   {
     bool mPinned = false;
-    bool mUp = false;
-    bool mWasUp = false; // has been connected at some time
+    bool mConnected = false;
+    bool mEverConnected = false; // has been connected at some time
     // When it was connected, or, while it is not, when it was last connected or
     // else added.
     instant mSince{};
@@ -59,9 +59,9 @@
     duration mBackoff{}; // between the next dial and the one after it
   };
 
-  static bool IsSeen(const record& aRecord, instant aNow);
+  static bool IsLive(const record& aRecord, instant aNow);
 
-  std::string mOwn;
+  std::string mOwnAddress;
   std::map<std::string, record> mRecords;
   uint64_t mRevision = 1;
 };
--- a/cactusmast/executor_subset.cc
+++ b/cactusmast/executor_subset.cc
@@ -8,17 +8,17 @@
 using std::chrono::milliseconds;
 
 // With a smaller free share than this, the next large job would not be placed.
-constexpr double kShortShare = 0.15;
+constexpr double kScarceShare = 0.15;
 // The subset shrinks only while at least this share is free.
-constexpr double kPlentyShare = 0.4;
+constexpr double kAmpleShare = 0.4;
 // The size changes by this fraction of itself at a time.
-constexpr size_t kWidenDivisor = 4;
-constexpr size_t kNarrowDivisor = 8;
+constexpr size_t kGrowDivisor = 4;
+constexpr size_t kShrinkDivisor = 8;
 // New members have sent their first reports by then.
-constexpr duration kWidenInterval = milliseconds(20);
+constexpr duration kGrowInterval = milliseconds(20);
 // The load varies in waves of a few seconds.
-constexpr duration kNarrowAfter = milliseconds(5000);
-constexpr duration kNarrowInterval = milliseconds(1000);
+constexpr duration kShrinkAfter = milliseconds(5000);
+constexpr duration kShrinkInterval = milliseconds(1000);
 
 } // namespace
 
@@ -27,7 +27,7 @@
                      const std::string& aName,
                      const std::string& aDataCenter)
 {
-  uint64_t hash = Hash64(aName, Hash64(mOwner));
+  uint64_t hash = Hash64(aName, Hash64(mEntryName));
   mRanks[aPeer] = { aDataCenter != mDataCenter, hash, aPeer };
 }
 
@@ -52,27 +52,27 @@
 }
 
 bool
-executor_subset::AdjustSize(double aFreeShare, bool aShort, instant aNow)
+executor_subset::AdjustSize(double aFreeShare, bool aHasUnplaced, instant aNow)
 {
   if (mSize == kUnlimitedSubset) {
     return false;
   }
-  if (aFreeShare < kPlentyShare || aShort) {
-    mScarceAt = aNow;
+  if (aFreeShare < kAmpleShare || aHasUnplaced) {
+    mLastNotAmpleAt = aNow;
   }
   // With fewer members than the size, all usable executors are members already.
   bool full = mMembers.size() == mSize;
-  bool isShort = aFreeShare < kShortShare || aShort;
-  if (full && isShort && aNow - mResizedAt >= kWidenInterval) {
-    size_t wider = mSize + mSize / kWidenDivisor;
-    return Resize(std::min({ wider, kMaxSubsetSize, mUsable.size() }), aNow);
+  bool isScarce = aFreeShare < kScarceShare || aHasUnplaced;
+  if (full && isScarce && aNow - mResizedAt >= kGrowInterval) {
+    size_t grown = mSize + mSize / kGrowDivisor;
+    return Resize(std::min({ grown, kMaxSubsetSize, mUsable.size() }), aNow);
   }
-  bool plenty =
-    aNow - mScarceAt >= kNarrowAfter && aNow - mResizedAt >= kNarrowInterval;
-  if (!plenty) {
+  bool ample = aNow - mLastNotAmpleAt >= kShrinkAfter &&
+               aNow - mResizedAt >= kShrinkInterval;
+  if (!ample) {
     return false;
   }
-  return Resize(std::max(kMinSubsetSize, mSize - mSize / kNarrowDivisor), aNow);
+  return Resize(std::max(kMinSubsetSize, mSize - mSize / kShrinkDivisor), aNow);
 }
 
 bool
@@ -90,29 +90,29 @@
 executor_subset::change
 executor_subset::Update()
 {
-  change made;
+  change changes;
   if (!mStale) {
-    return made;
+    return changes;
   }
   mStale = false;
   std::set<peer_id> members;
-  for (const rank& one : mUsable) {
+  for (const rank& usable : mUsable) {
     if (members.size() == mSize) {
       break;
     }
-    peer_id peer = std::get<2>(one);
+    peer_id peer = std::get<2>(usable);
     members.insert(peer);
     if (mMembers.count(peer) == 0) {
-      made.mJoined.push_back(peer);
+      changes.mJoined.push_back(peer);
     }
   }
   for (peer_id peer : mMembers) {
     if (members.count(peer) == 0) {
-      made.mLeft.push_back(peer);
+      changes.mLeft.push_back(peer);
     }
   }
   mMembers = std::move(members);
-  return made;
+  return changes;
 }
 
 } // namespace cactusmast
--- a/cactusmast/executor_subset.h
+++ b/cactusmast/executor_subset.h
@@ -54,10 +54,10 @@
   };
 
   // aSize: kMinSubsetSize or kUnlimitedSubset.
-  executor_subset(std::string aOwner,
+  executor_subset(std::string aEntryName,
                   std::string aDataCenter,
                   size_t aSize = kMinSubsetSize)
-    : mOwner(std::move(aOwner))
+    : mEntryName(std::move(aEntryName))
     , mDataCenter(std::move(aDataCenter))
     , mSize(aSize)
   {
@@ -70,9 +70,10 @@
   void Remove(peer_id aPeer);
   void SetUsable(peer_id aPeer, bool aUsable);
 
-  // aFreeShare: the free share of the members' processors, 0 to 1. aShort: a
-  // task was not placed on any member. True if the size has changed.
-  bool AdjustSize(double aFreeShare, bool aShort, instant aNow);
+  // aFreeShare: the free share of the members' processors, 0 to 1.
+  // aHasUnplaced: a task was not placed on any member. True if the size has
+  // changed.
+  bool AdjustSize(double aFreeShare, bool aHasUnplaced, instant aNow);
 
   // Recomputes the members and returns the changes since the last call. An
   // executor that was removed is in neither list.
@@ -88,14 +89,14 @@
 
   bool Resize(size_t aSize, instant aNow);
 
-  std::string mOwner;
+  std::string mEntryName;
   std::string mDataCenter;
   std::map<peer_id, rank> mRanks;
   std::set<rank> mUsable; // in the order in which members are taken
   std::set<peer_id> mMembers;
   size_t mSize;
   instant mResizedAt{};
-  instant mScarceAt{}; // when free capacity was last not ample
+  instant mLastNotAmpleAt{}; // when free capacity was last not ample
   bool mStale = false; // mUsable or mSize changed since mMembers was computed
 };
 
--- a/cactusmast/job_coordinator_placement.cc
+++ b/cactusmast/job_coordinator_placement.cc
@@ -113,7 +113,7 @@
     emptyMillis += others / 2 * double(step.mSize.mCpuMillis);
   }
   return aRoom.FreeShare() < kScarceFreeShare &&
-         emptyMillis < kMaxIdleShare * double(aRoom.mAllMillis);
+         emptyMillis < kMaxIdleShare * double(aRoom.mTotalMillis);
 }
 
 void
@@ -214,7 +214,7 @@
     // What is late already stands first in the order. If it counted as tried,
     // those behind it that can still be in time would not be.
     bool late = aAim == placement_aim::InObjective &&
-                !CanMeetObjective(request, mSlowness.mLeast);
+                !CanMeetObjective(request, mSlowness.mMin);
     if (late) {
       left.push_back(key);
       continue;
--- a/cactusmast/placement.cc
+++ b/cactusmast/placement.cc
@@ -16,12 +16,12 @@
 constexpr double kMaxServerWaitMs = 30;
 // The cost is increased by a random part of up to this share, because entries
 // that get the same reports would otherwise all choose the same backend server.
-constexpr double kSpread = 0.1;
+constexpr double kRandomCostShare = 0.1;
 // Additional round-trip time to another data centre.
-constexpr double kOtherDataCenterMs = 1;
+constexpr double kOtherDataCenterCostMs = 1;
 // Dispatch, start, poll and report together take about this long in addition
 // to the run time.
-constexpr double kOverheadMs = 12;
+constexpr double kDispatchOverheadMs = 12;
 // Standard deviation of the error of forecast waits.
 constexpr double kWaitSigmaMs = 20;
 // Cost of any wait in addition to its length: it depends on ends of tasks that
@@ -36,22 +36,22 @@
 constexpr double kLateCostMs = 0.8 * kMissCostMs;
 // A task waits for a busy backend server only if that lowers the cost by at
 // least this much. Smaller differences are within the error of forecasts.
-constexpr double kWorthWaitingMs = 150;
+constexpr double kMinWaitSavingMs = 150;
 // A backend server counts as fast if its slowness is at most this share of the
-// median. Its last free capacity costs up to kScarceMs in addition, so that
-// only tasks that save at least as much get it.
-constexpr double kFastShare = 0.8;
-constexpr double kScarceMs = 400;
+// median. Its last free capacity costs up to kMaxScarcityCostMs in addition, so
+// that only tasks that save at least as much get it.
+constexpr double kFastSlownessShare = 0.8;
+constexpr double kMaxScarcityCostMs = 400;
 // A task that is more likely than this to be late yields to those that can meet
 // their objective.
-constexpr double kTooLateRisk = 0.6;
+constexpr double kMaxLateRisk = 0.6;
 // A task that misses its deadline with a higher risk than this everywhere is
 // not started.
 constexpr double kInfeasibleRisk = 0.98;
 // The wait is at least this long where there is no free capacity.
-constexpr double kLeastWaitMs = 3;
+constexpr double kMinWaitMs = 3;
 // Mean run time that is assumed until a backend server has ended a task.
-constexpr double kUnknownMeanRunMs = 200;
+constexpr double kDefaultMeanRunMs = 200;
 
 bool
 HasLabel(const server_view& aView, const std::string& aLabel)
@@ -67,7 +67,7 @@
 }
 
 bool
-Suits(const server_view& aView, const placement_request& aRequest)
+IsCandidate(const server_view& aView, const placement_request& aRequest)
 {
   const job_step& step = *aRequest.mStep;
   return IsUsable(aView) && aView.mService == aRequest.mService &&
@@ -79,16 +79,17 @@
 // rises steeply once half of the capacity is in use; 0 for other backend
 // servers.
 double
-ScarcityMs(const server_view& aView, double aMedianSlowness)
+ScarcityCostMs(const server_view& aView, double aMedianSlowness)
 {
-  if (aView.mSlowness > kFastShare * aMedianSlowness) {
+  if (aView.mSlowness > kFastSlownessShare * aMedianSlowness) {
     return 0;
   }
-  double used = 1 - double(aView.mFree.mCpuMillis) /
-                      double(std::max<int64_t>(1, aView.mCapacity.mCpuMillis));
-  used = std::clamp(used, 0.0, 1.0);
-  double square = used * used;
-  return kScarceMs * square * square;
+  double usedShare =
+    1 - double(aView.mFree.mCpuMillis) /
+          double(std::max<int64_t>(1, aView.mCapacity.mCpuMillis));
+  usedShare = std::clamp(usedShare, 0.0, 1.0);
+  double square = usedShare * usedShare;
+  return kMaxScarcityCostMs * square * square;
 }
 
 // The risk of ending after the objective. The objective is proportional to the
@@ -99,7 +100,7 @@
   double estimateMs = std::max<double>(1, aRequest.mEstimateMs);
   double slackMs = aRequest.mObjectiveBaseMs +
                    aRequest.mObjectiveStretch * estimateMs - aRunMs - aWaitMs -
-                   kOverheadMs;
+                   kDispatchOverheadMs;
   return NormalTail(slackMs / kWaitSigmaMs);
 }
 
@@ -108,25 +109,25 @@
 slowness_range
 SlownessOf(const std::vector<server_view>& aViews)
 {
-  std::vector<double> all;
+  std::vector<double> slownesses;
   for (const server_view& view : aViews) {
     if (IsUsable(view)) {
-      all.push_back(view.mSlowness);
+      slownesses.push_back(view.mSlowness);
     }
   }
-  if (all.empty()) {
+  if (slownesses.empty()) {
     return {};
   }
-  auto middle = all.begin() + long(all.size() / 2);
-  std::nth_element(all.begin(), middle, all.end());
-  return { *std::min_element(all.begin(), middle + 1), *middle };
+  auto median = slownesses.begin() + long(slownesses.size() / 2);
+  std::nth_element(slownesses.begin(), median, slownesses.end());
+  return { *std::min_element(slownesses.begin(), median + 1), *median };
 }
 
 bool
 CanMeetObjective(const placement_request& aRequest, double aSlowness)
 {
   double runMs = aRequest.mEstimateMs * aSlowness;
-  return LateRisk(aRequest, runMs, 0) <= kTooLateRisk;
+  return LateRisk(aRequest, runMs, 0) <= kMaxLateRisk;
 }
 
 double
@@ -139,36 +140,38 @@
   // has dispatched since. Capacity becomes free at the rate at which running
   // tasks end.
   double meanRunMs =
-    aView.mMeanRunMs > 0 ? aView.mMeanRunMs : kUnknownMeanRunMs;
-  double ahead = double(aView.mUnreportedCpuMillis) /
-                 double(std::max<int64_t>(aView.mCapacity.mCpuMillis, 1));
-  return std::max(kLeastWaitMs, aView.mStartDelayMs - aView.mAgeMs) +
-         ahead * meanRunMs;
+    aView.mMeanRunMs > 0 ? aView.mMeanRunMs : kDefaultMeanRunMs;
+  double unreportedShare =
+    double(aView.mUnreportedCpuMillis) /
+    double(std::max<int64_t>(aView.mCapacity.mCpuMillis, 1));
+  return std::max(kMinWaitMs, aView.mStartDelayMs - aView.mAgeMs) +
+         unreportedShare * meanRunMs;
 }
 
 placement_forecast
 Forecast(const server_view& aView, const placement_request& aRequest)
 {
-  placement_forecast made;
+  placement_forecast forecast;
   double estimateMs = std::max<double>(1, aRequest.mEstimateMs);
-  made.mRunMs = estimateMs * aView.mSlowness;
+  forecast.mRunMs = estimateMs * aView.mSlowness;
   const std::string& rack = aRequest.mStep->mDataRack;
   if (!rack.empty() && !HasLabel(aView, rack)) {
-    made.mRunMs *= aRequest.mRemoteDataFactor;
+    forecast.mRunMs *= aRequest.mRemoteDataFactor;
   }
-  made.mWaitMs = ExpectedWaitMs(aView, aRequest.mStep->mSize);
-  double leftMs = aRequest.mDeadlineMs - made.mWaitMs - kOverheadMs;
-  made.mMissRisk =
-    leftMs <= 0
-      ? 1
-      : NormalTail(std::log(leftMs / made.mRunMs) / aRequest.mEstimateSigma);
-  made.mLateRisk = LateRisk(aRequest, made.mRunMs, made.mWaitMs);
-  made.mCost = made.mWaitMs + made.mRunMs + kMissCostMs * made.mMissRisk +
-               kLateCostMs * made.mLateRisk * (1 - made.mMissRisk);
-  if (made.mWaitMs > 0) {
-    made.mCost += kWaitCostMs;
+  forecast.mWaitMs = ExpectedWaitMs(aView, aRequest.mStep->mSize);
+  double leftMs = aRequest.mDeadlineMs - forecast.mWaitMs - kDispatchOverheadMs;
+  forecast.mMissRisk = leftMs <= 0
+                         ? 1
+                         : NormalTail(std::log(leftMs / forecast.mRunMs) /
+                                      aRequest.mEstimateSigma);
+  forecast.mLateRisk = LateRisk(aRequest, forecast.mRunMs, forecast.mWaitMs);
+  forecast.mCost = forecast.mWaitMs + forecast.mRunMs +
+                   kMissCostMs * forecast.mMissRisk +
+                   kLateCostMs * forecast.mLateRisk * (1 - forecast.mMissRisk);
+  if (forecast.mWaitMs > 0) {
+    forecast.mCost += kWaitCostMs;
   }
-  return made;
+  return forecast;
 }
 
 placement_decision
@@ -176,66 +179,67 @@
              const placement_request& aRequest,
              random_source& aRandom)
 {
-  placement_decision now;
-  placement_decision later;
-  double nowCost = std::numeric_limits<double>::infinity();
-  double laterCost = nowCost;
-  double leastRisk = 1;
+  placement_decision immediate;
+  placement_decision deferred;
+  double immediateCost = std::numeric_limits<double>::infinity();
+  double deferredCost = immediateCost;
+  double minMissRisk = 1;
   for (size_t i = 0; i < aViews.size(); i++) {
     const server_view& view = aViews[i];
-    if (!Suits(view, aRequest)) {
+    if (!IsCandidate(view, aRequest)) {
       continue;
     }
-    placement_forecast made = Forecast(view, aRequest);
-    leastRisk = std::min(leastRisk, made.mMissRisk);
+    placement_forecast forecast = Forecast(view, aRequest);
+    minMissRisk = std::min(minMissRisk, forecast.mMissRisk);
     if (aRequest.mUseScarcityCost) {
-      made.mCost += ScarcityMs(view, aRequest.mMedianSlowness);
+      forecast.mCost += ScarcityCostMs(view, aRequest.mMedianSlowness);
     }
     if (view.mDataCenter != aRequest.mDataCenter) {
-      made.mCost += kOtherDataCenterMs;
+      forecast.mCost += kOtherDataCenterCostMs;
     }
-    bool soon = made.mWaitMs <= kMaxServerWaitMs;
-    double& best = soon ? nowCost : laterCost;
-    if (made.mCost >= best) {
+    bool startsSoon = forecast.mWaitMs <= kMaxServerWaitMs;
+    double& bestCost = startsSoon ? immediateCost : deferredCost;
+    if (forecast.mCost >= bestCost) {
       continue; // the random part only increases the cost
     }
-    double cost = made.mCost * (1 + kSpread * aRandom.NextUniform());
-    if (cost < best) {
-      best = cost;
-      (soon ? now : later).mChoice = { i, made };
+    double cost =
+      forecast.mCost * (1 + kRandomCostShare * aRandom.NextUniform());
+    if (cost < bestCost) {
+      bestCost = cost;
+      (startsSoon ? immediate : deferred).mChoice = { i, forecast };
     }
   }
-  if (leastRisk > kInfeasibleRisk &&
-      (nowCost < std::numeric_limits<double>::infinity() ||
-       laterCost < std::numeric_limits<double>::infinity())) {
-    now.mVerdict = placement_verdict::Infeasible;
-    return now;
+  if (minMissRisk > kInfeasibleRisk &&
+      (immediateCost < std::numeric_limits<double>::infinity() ||
+       deferredCost < std::numeric_limits<double>::infinity())) {
+    immediate.mVerdict = placement_verdict::Infeasible;
+    return immediate;
   }
-  if (laterCost + kWorthWaitingMs < nowCost) {
-    later.mVerdict = placement_verdict::Wait;
-    return later;
+  if (deferredCost + kMinWaitSavingMs < immediateCost) {
+    deferred.mVerdict = placement_verdict::Wait;
+    return deferred;
   }
-  if (nowCost == std::numeric_limits<double>::infinity()) {
-    return now;
+  if (immediateCost == std::numeric_limits<double>::infinity()) {
+    return immediate;
   }
-  bool late = now.mChoice.mForecast.mLateRisk > kTooLateRisk;
-  now.mVerdict = late && aRequest.mAim == placement_aim::InObjective
-                   ? placement_verdict::Wait
-                   : placement_verdict::Place;
-  return now;
+  bool late = immediate.mChoice.mForecast.mLateRisk > kMaxLateRisk;
+  immediate.mVerdict = late && aRequest.mAim == placement_aim::InObjective
+                         ? placement_verdict::Wait
+                         : placement_verdict::Place;
+  return immediate;
 }
 
 service_capacity
 CapacityOf(const std::vector<server_view>& aViews, const std::string& aService)
 {
-  service_capacity room;
+  service_capacity capacity;
   for (const server_view& view : aViews) {
     if (IsUsable(view) && view.mService == aService) {
-      room.mFreeMillis += std::max<int64_t>(0, view.mFree.mCpuMillis);
-      room.mAllMillis += view.mCapacity.mCpuMillis;
+      capacity.mFreeMillis += std::max<int64_t>(0, view.mFree.mCpuMillis);
+      capacity.mTotalMillis += view.mCapacity.mCpuMillis;
     }
   }
-  return room;
+  return capacity;
 }
 
 bool
@@ -253,10 +257,10 @@
       continue;
     }
     anyKnown = true;
-    bool holds =
+    bool fits =
       aStep.mSize.FitsIn(view.mCapacity) &&
       (aStep.mRequiredLabel.empty() || HasLabel(view, aStep.mRequiredLabel));
-    if (holds) {
+    if (fits) {
       return false;
     }
   }
--- a/cactusmast/placement.h
+++ b/cactusmast/placement.h
@@ -129,7 +129,7 @@
 // there are none.
 struct slowness_range
 {
-  double mLeast = 1;
+  double mMin = 1;
   double mMedian = 1;
 };
 
@@ -152,12 +152,12 @@
 struct service_capacity
 {
   int64_t mFreeMillis = 0;
-  int64_t mAllMillis = 0;
+  int64_t mTotalMillis = 0;
 
   // From 0 to 1; 0 if there are no processors.
   double FreeShare() const
   {
-    return mAllMillis == 0 ? 0 : double(mFreeMillis) / double(mAllMillis);
+    return mTotalMillis == 0 ? 0 : double(mFreeMillis) / double(mTotalMillis);
   }
 };
 
--- a/cactusmast/testing/executor_subset_test.cc
+++ b/cactusmast/testing/executor_subset_test.cc
@@ -13,8 +13,8 @@
 
 using std::chrono::seconds;
 
-constexpr double kMuchRoom = 0.7;
-constexpr double kLittleRoom = 0.05;
+constexpr double kAmpleFreeShare = 0.7;
+constexpr double kScarceFreeShare = 0.05;
 
 std::string
 ExecutorName(peer_id aPeer)
@@ -24,15 +24,15 @@
 
 // A subset with executors 1 to aCount, all ready, spread over aDataCenters.
 executor_subset
-MakeSubset(const std::string& aOwner, size_t aCount, size_t aDataCenters)
+MakeSubset(const std::string& aEntryName, size_t aCount, size_t aDataCenters)
 {
-  executor_subset made(aOwner, "dc-0");
+  executor_subset subset(aEntryName, "dc-0");
   for (peer_id peer = 1; peer <= aCount; peer++) {
-    std::string place = "dc-" + std::to_string(peer % aDataCenters);
-    made.Add(peer, ExecutorName(peer), place);
-    made.SetUsable(peer, true);
+    std::string dataCenter = "dc-" + std::to_string(peer % aDataCenters);
+    subset.Add(peer, ExecutorName(peer), dataCenter);
+    subset.SetUsable(peer, true);
   }
-  return made;
+  return subset;
 }
 
 std::set<peer_id>
@@ -62,8 +62,8 @@
   subset.Update();
   std::set<peer_id> members = Members(subset, 160);
   CHECK(members.size() == kMinSubsetSize);
-  for (peer_id near = 8; near <= 160; near += 8) {
-    CHECK(members.count(near) == 1);
+  for (peer_id nearPeer = 8; nearPeer <= 160; nearPeer += 8) {
+    CHECK(members.count(nearPeer) == 1);
   }
 }
 
@@ -102,10 +102,10 @@
 {
   executor_subset subset = MakeSubset("entry", 100, 1);
   subset.Update();
-  peer_id ill = *Members(subset, 100).begin();
-  subset.SetUsable(ill, false);
+  peer_id unusable = *Members(subset, 100).begin();
+  subset.SetUsable(unusable, false);
   executor_subset::change change = subset.Update();
-  CHECK(change.mLeft == std::vector<peer_id>{ ill });
+  CHECK(change.mLeft == std::vector<peer_id>{ unusable });
   CHECK(change.mJoined.size() == 1);
 }
 
@@ -116,7 +116,7 @@
   subset.Update();
   for (int i = 0; i < 100; i++) {
     now += milliseconds(20);
-    subset.AdjustSize(kLittleRoom, false, now);
+    subset.AdjustSize(kScarceFreeShare, false, now);
     subset.Update();
   }
   CHECK(Members(subset, 500).size() == kMaxSubsetSize);
@@ -141,13 +141,13 @@
   executor_subset subset = MakeSubset("entry", 500, 1);
   subset.Update();
   instant now = seconds(1);
-  subset.AdjustSize(kLittleRoom, false, now);
-  size_t wide = subset.Size();
-  CHECK(wide > kMinSubsetSize);
-  subset.AdjustSize(kMuchRoom, false, now + seconds(2));
-  CHECK(subset.Size() == wide);
+  subset.AdjustSize(kScarceFreeShare, false, now);
+  size_t grownSize = subset.Size();
+  CHECK(grownSize > kMinSubsetSize);
+  subset.AdjustSize(kAmpleFreeShare, false, now + seconds(2));
+  CHECK(subset.Size() == grownSize);
   for (int i = 0; i < 60; i++) {
-    subset.AdjustSize(kMuchRoom, false, now + seconds(6 + i));
+    subset.AdjustSize(kAmpleFreeShare, false, now + seconds(6 + i));
   }
   CHECK(subset.Size() == kMinSubsetSize);
 }
@@ -163,7 +163,7 @@
 
     usable.insert(peer);
   }
-  std::set<peer_id> told;
+  std::set<peer_id> reported;
   for (int step = 0; step < 2000; step++) {
     peer_id peer = 1 + random() % kExecutors;
     bool isUsable = random() % 3 > 0;
@@ -171,13 +171,13 @@
     isUsable ? (void)usable.insert(peer) : (void)usable.erase(peer);
     executor_subset::change change = subset.Update();
     for (peer_id left : change.mLeft) {
-      REQUIRE(told.erase(left) == 1);
+      REQUIRE(reported.erase(left) == 1);
     }
     for (peer_id joined : change.mJoined) {
-      REQUIRE(told.insert(joined).second);
+      REQUIRE(reported.insert(joined).second);
     }
     std::set<peer_id> members = Members(subset, kExecutors);
-    REQUIRE(told == members);
+    REQUIRE(reported == members);
     REQUIRE(members.size() == std::min(usable.size(), kMinSubsetSize));
     REQUIRE(std::includes(
       usable.begin(), usable.end(), members.begin(), members.end()));
