--- a/cactusmast/evacuation.cc
+++ b/cactusmast/evacuation.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-// An older age says no more: the store has not told for long.
+// Greatest age that is sent. A greater one makes no difference to the receiver.
 constexpr int64_t kLongestAgeMs = 3600 * 1000;
 
 } // namespace
@@ -39,7 +39,7 @@
       }
     }
   }
-  // A whole read may be of an earlier state than what was followed before.
+  // A snapshot may be of an earlier version than the changes before it.
   mState.mVersion = aChange.mWhole
                       ? aChange.mVersion
                       : std::max(mState.mVersion, aChange.mVersion);
--- a/cactusmast/evacuation.h
+++ b/cactusmast/evacuation.h
@@ -1,20 +1,21 @@
-// Which data centres are being evacuated: backend servers there get nothing new
-// until the operators take it back.
+// Which data centres are being evacuated: tasks are no longer started there
+// until the operators end the evacuation.
 //
 // Operators write a row for each such data centre into the platform's store.
-// What is being evacuated is a function of the store's version, so the state of
-// the greatest version is right, whichever way it came: from the store, from an
-// entry, late or twice. Each order carries the state that its entry knows, so
-// that an executor that has just started knows it before it starts anything.
+// The set of evacuated data centres depends only on the version of the store,
+// so the state of the greatest version is right, whether it comes from the
+// store or from another process, late or twice. Each dispatch carries the state
+// that its entry knows, so that an executor that has just started knows the
+// state before it starts a task.
 //
-//   evacuation_reader rows(codec, events);      // at a reader of the store
-//   evacuation_tracker record;                  // at each process
-//   if (record.Update(rows.Apply(change), now)) ...
-//   if (record.Has("a")) ...
+//   evacuation_reader reader(codec, events);      // at a reader of the store
+//   evacuation_tracker tracker;                   // in each process
+//   if (tracker.Update({ reader.Apply(change), now })) ...
+//   if (tracker.Has("a")) ...
 //
 // Invariants:
-// - A record never goes back to an older version.
-// - A row that cannot be read leaves its data centre as it was.
+// - A tracker never goes back to an older version.
+// - A row that cannot be read leaves the state of its data centre unchanged.
 
 #ifndef CACTUSMAST_EVACUATION_H_
 #define CACTUSMAST_EVACUATION_H_
@@ -35,29 +36,32 @@
 
 struct evacuation_state
 {
-  uint64_t mVersion = 0; // of the store; 0: nothing is known yet
+  uint64_t mVersion = 0; // of the store; 0: no state is known yet
   std::set<std::string> mDataCenters;
 };
 
-// A state, and when the store told it, to whichever process.
+// A state, and when any process last got it from the store.
 struct evacuation_update
 {
   evacuation_state mState;
   instant mConfirmedAt{};
 };
 
-// How operators write evacuations; an adapter implements it for its platform.
+// Interprets the rows that operators write. Each platform adapter implements
+// it.
 class evacuation_codec
 {
 public:
   virtual ~evacuation_codec() = default;
-  // The data centre that the row is about; none if it is of another kind.
+  // The data centre whose evacuation the row at aKey declares; none for any
+  // other row.
   virtual std::optional<std::string> DataCenterOf(
     const std::string& aKey) const = 0;
+  // Whether aValue is a valid value of such a row.
   virtual bool IsReadable(const std::string& aValue) const = 0;
 };
 
-// Follows the rows of the store's table.
+// Computes the state from the rows of the store's table.
 class evacuation_reader
 {
 public:
@@ -67,7 +71,7 @@
   {
   }
 
-  // The state after aChange.
+  // Applies aChange and returns the state after it.
   const evacuation_state& Apply(const table_change& aChange);
 
 private:
@@ -76,11 +80,12 @@
   evacuation_state mState;
 };
 
+// The newest state that a process knows.
 class evacuation_tracker
 {
 public:
-  // Takes aNews over unless something newer is known. True if other data
-  // centres are being evacuated now than before.
+  // Takes aNews over unless a newer state is known. True if the set of
+  // evacuated data centres has changed.
   bool Update(const evacuation_update& aNews);
 
   bool Has(const std::string& aDataCenter) const
@@ -88,9 +93,9 @@
     return mState.mDataCenters.count(aDataCenter) > 0;
   }
   const evacuation_state& State() const { return mState; }
-  // When this process learned of each evacuation.
+  // By evacuated data centre: mConfirmedAt of the update that added it.
   const std::map<std::string, instant>& Since() const { return mSince; }
-  // How long ago the store told this state or said that it still holds.
+  // Time since the store last returned or confirmed this state.
   duration Age(instant aNow) const { return aNow - mConfirmedAt; }
 
 private:
@@ -99,15 +104,15 @@
   instant mConfirmedAt{};
 };
 
-// For messages between processes.
+// For messages between processes. Null if no state is known yet.
 std::unique_ptr<wire::evacuations_msg>
 EncodeEvacuations(const evacuation_tracker& aRecord, instant aNow);
 
-// Empty for a null aMessage: the sender knows nothing yet.
+// Empty for a null aMessage: its sender knows no state yet.
 std::optional<evacuation_update>
 DecodeEvacuations(const wire::evacuations_msg* aMessage, instant aNow);
 
-// The names, for log lines.
+// The names of the evacuated data centres, separated by commas, for logs.
 std::string
 NamesOf(const evacuation_state& aState);
 
--- a/cactusmast/testing/evacuation_test.cc
+++ b/cactusmast/testing/evacuation_test.cc
@@ -1,4 +1,5 @@
-// Data centres that are being evacuated: how it becomes known, and what starts.
+// Tests how evacuations of data centres become known, and which tasks start
+// during them.
 
 #include <doctest/doctest.h>
 
@@ -10,7 +11,7 @@
 
 using std::chrono::seconds;
 
-// Rows "out/NAME"; any value but "?" can be read.
+// Reads rows "out/NAME"; any value but "?" is readable.
 class plain_codec : public evacuation_codec
 {
 public:
@@ -26,7 +27,7 @@
   }
 };
 
-// One reader of the store's rows.
+// An evacuation_reader with its codec and event sink.
 struct reader
 {
   std::string Apply(const std::vector<store_row>& aRows,
@@ -49,8 +50,8 @@
 
 constexpr size_t kServers = 12;
 
-// Callers at all entries for aSpan, well within what two of three data centres
-// can do.
+// Submits jobs at all entries for aSpan, well within the capacity of two of
+// three data centres.
 void
 PlayCallers(sized_world* aWorld, duration aSpan)
 {
@@ -84,21 +85,22 @@
 
 } // namespace
 
-TEST_CASE("rows of evacuations are followed through changes and whole reads")
+TEST_CASE("evacuations follow changes of rows and snapshots of the table")
 {
   reader one;
   CHECK(one.Apply({ Row("config"), Row("out/a") }, 5, true) == "a");
   CHECK(one.Apply({ Row("out/b") }, 6, false) == "a,b");
   CHECK(one.Apply({ { "out/a", "", true, "" } }, 7, false) == "b");
   CHECK(one.Apply({}, 8, false) == "b");
-  // Guards against an evacuation whose removal was missed while the store's
-  // history was gone, and which would last for ever.
+  // Guards against an evacuation that never ends because the deletion of its
+  // row was missed: the store no longer had the history of that time.
   CHECK(one.Apply({ Row("config") }, 9, true) == "");
 }
 
-TEST_CASE("a row of an evacuation that cannot be read changes nothing")
+TEST_CASE("an unreadable row does not change the state of its data centre")
 {
-  // Guards against a foreign writer that ends or begins an evacuation.
+  // Guards against invalid rows of another writer that begin or end an
+  // evacuation.
   reader one;
   CHECK(one.Apply({ Row("out/a", "?"), Row("wave/1", "?") }, 5, true) == "");
   CHECK(one.Apply({ Row("out/a") }, 6, false) == "a");
@@ -106,10 +108,10 @@
   CHECK(one.Apply({ Row("out/a", "?"), Row("out/b", "?") }, 8, true) == "a");
 }
 
-TEST_CASE("what is known of evacuations never goes back")
+TEST_CASE("a tracker never goes back to an older version")
 {
-  // Guards against an entry that was cut off from the store and tells what held
-  // before.
+  // Guards against an entry that is disconnected from the store and sends an
+  // earlier state.
   evacuation_tracker record;
   CHECK(record.Update({ { 10, { "a" } }, seconds(10) }));
   CHECK(record.Update({ { 12, {} }, seconds(12) }));
@@ -120,7 +122,7 @@
   CHECK(record.Age(seconds(14)) == seconds(1));
 }
 
-TEST_CASE("a message says what its sender knows and how old that is")
+TEST_CASE("a message carries the state of its sender and its age")
 {
   evacuation_tracker sender;
   CHECK(EncodeEvacuations(sender, seconds(1)) == nullptr);
@@ -140,10 +142,10 @@
   CHECK(!DecodeEvacuations(nullptr, seconds(21)));
 }
 
-TEST_CASE("nothing starts in an evacuated data centre, and no job is lost")
+TEST_CASE("no task starts in an evacuated data centre and no job is lost")
 {
-  // Guards against tasks that are still sent to backend servers which their
-  // operators are about to switch off.
+  // Guards against tasks on backend servers that operators are about to switch
+  // off.
   sized_world world(3, kServers, 1, {}, 3);
   world.At(seconds(1), [&] { world.Evacuate("b"); });
   PlayCallers(&world, seconds(3));
@@ -153,10 +155,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("what was ordered and has not begun goes elsewhere at once")
+TEST_CASE("tasks queued in a data centre move elsewhere when it is evacuated")
 {
-  // Guards against jobs that wait in a queue of the evacuated data centre until
-  // their time to start is over.
+  // Guards against tasks that stay queued in the evacuated data centre until
+  // the time within which they have to start is over.
   sized_world world(1, 2, 2, {}, 2);
   world.Submit(0, 20, 300, 3000);
   world.Run(milliseconds(280));
@@ -173,9 +175,9 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("what runs in a data centre that is evacuated ends there")
+TEST_CASE("tasks running in a data centre when it is evacuated end there")
 {
-  // Guards against work that is thrown away although it may be finished.
+  // Guards against stopping running tasks, which may end where they are.
   sized_world world(2, 4, 3, {}, 2);
   uint64_t job = world.Submit(0, 40, 800, 5000);
   world.Run(milliseconds(300));
@@ -186,9 +188,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("with everything evacuated jobs are refused at once")
+TEST_CASE("jobs are refused at once while all data centres are evacuated")
 {
-  // Guards against callers that wait for backend servers which cannot come.
+  // Guards against callers that wait although no backend server can run their
+  // job.
   sized_world world(2, 4, 4, {}, 2);
   world.Evacuate("a");
   world.Evacuate("b");
@@ -205,10 +208,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("a data centre that was taken back gets work again, without a rush")
+TEST_CASE("a data centre gets tasks again after its evacuation, without a rush")
 {
-  // Guards against room that stays unused, and against entries that all send to
-  // the same empty backend servers.
+  // Guards against free capacity that stays unused, and against entries that
+  // all dispatch to the same idle backend servers.
   sized_world world(6, kServers, 5, {}, 3);
   world.Evacuate("c");
   world.At(seconds(1), [&] { world.TakeBack("c"); });
@@ -225,10 +228,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("an executor that restarts knows of the evacuation before it starts")
+TEST_CASE("a restarted executor knows of an evacuation before it starts tasks")
 {
-  // Guards against a fresh process that takes orders of entries as if nothing
-  // were evacuated, and against one that has learned it and forgets.
+  // Guards against a restarted executor that starts dispatched tasks before it
+  // knows of the evacuation, and against one that loses the state.
   sized_world world(2, 6, 6, {}, 3);
   world.Evacuate("a");
   world.At(milliseconds(1500),
@@ -240,10 +243,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("an evacuation holds through a loss of everything and of the store")
+TEST_CASE("an evacuation holds when all processes and the store are lost")
 {
-  // Guards against processes that come back while the store is away, know
-  // nothing, and begin to serve as if nothing were evacuated.
+  // Guards against processes that restart while the store is unreachable and
+  // start tasks although they know of no evacuation state.
   sized_world world(2, 6, 7, {}, 3);
   world.RefuseUntilStoreIsHeard();
   world.Evacuate("a");
@@ -262,9 +265,9 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("entries cut off from the store learn of evacuations from others")
+TEST_CASE("entries without the store get evacuations from other processes")
 {
-  // Guards against an entry that goes on placing by what it knew before.
+  // Guards against an entry that goes on placing tasks by an outdated state.
   sized_world world(3, kServers, 8, {}, 3);
   world.CutFromStore(0, seconds(20));
   world.CutFromStore(1, seconds(20));
@@ -274,10 +277,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("executors ask the store when all entries are cut off from it")
+TEST_CASE("executors read the store when no entry can reach it")
 {
-  // Guards against entries that only believe old news, with executors beside
-  // backend servers that are being evacuated and reach the store.
+  // Guards against executors that rely on the outdated state of entries
+  // although they can reach the store themselves.
   constexpr duration kBound = seconds(5);
   sized_world world(1, 6, 9, {}, 3);
   world.SetEvacuationBound(kBound);
@@ -289,9 +292,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("an evacuation during an outage of the store counts once it is back")
+TEST_CASE("an evacuation during an outage of the store holds once it is back")
 {
-  // Guards against watchers that go on from where they stood.
+  // Guards against a change that is missed because it was made during the
+  // outage.
   sized_world world(2, kServers, 10, {}, 3);
   world.SetEvacuationBound(seconds(4));
   world.At(seconds(1), [&] {
@@ -303,13 +307,13 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("an evacuation counts within a second at full load, large fleets too")
+TEST_CASE("an evacuation holds within a second at high load in a large fleet")
 {
-  // Guards against news that waits behind orders and reports.
+  // Guards against updates that are delayed behind dispatches and reports.
   sized_world world(35, 160, 11, {}, 6);
   world.At(milliseconds(500), [&] { world.Evacuate("d"); });
-  // Three jobs of .4 s of work each ms, where 133 backend servers of ten tasks
-  // are left: nine tenths of their room.
+  // Three jobs of 0.4 s of work per ms, for the 133 backend servers of ten
+  // tasks each that are left: nine tenths of their capacity.
   for (int i = 0; i < 6000; i++) {
     world.At(milliseconds(i / 3), [&world, i] {
       world.Submit(size_t(i) % world.Entries(), 4, 100, 3000);
@@ -320,10 +324,9 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("executors leave the store alone while entries hear from it")
+TEST_CASE("executors do not read the store while entries can reach it")
 {
-  // Guards against a call for each executor and second at a store that all
-  // share.
+  // Guards against a request per executor and second to the shared store.
   sized_world world(2, 6, 12, {}, 3);
   PlayCallers(&world, seconds(6));
   CHECK(world.StoreAsks() == 0);
--- a/cactusmast/testing/timeout_model_test.cc
+++ b/cactusmast/testing/timeout_model_test.cc
@@ -1,5 +1,5 @@
-// What the wait of callers says about run times and about jobs that are sent
-// again, and what that gains them.
+// Tests forecasts of run times from caller timeouts, the detection of
+// resubmitted jobs, and their effect on placement.
 
 #include <cmath>
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 
 using std::chrono::seconds;
 
-// Callers of one kind of job.
+// Generates jobs of callers whose timeout depends on the run time.
 class caller_model
 {
 public:
@@ -48,7 +48,7 @@
   std::normal_distribution<> mDeclaredError{ 0, 0.4 };
 };
 
-// As the world's route has it.
+// The objective by the route of sized_world.
 duration
 ObjectiveOf(const caller_model::job& aJob)
 {
@@ -64,7 +64,7 @@
   }
 }
 
-// Mean of the absolute logarithm of forecast over run time, for new jobs.
+// Mean absolute logarithm of forecast over run time for new jobs.
 double
 MeanError(const timeout_model& aModel, caller_model* aCallers)
 {
@@ -80,26 +80,27 @@
 
 } // namespace
 
-TEST_CASE("waits forecast run times better than what callers declare")
+TEST_CASE(
+  "caller timeouts forecast run times better than declared run times do")
 {
   caller_model callers(1);
   timeout_model model;
-  CHECK(MeanError(model, &callers) > 0.25); // as declared
+  CHECK(MeanError(model, &callers) > 0.25); // declared run times
   Teach(&model, &callers, 100);
   CHECK(MeanError(model, &callers) < 0.05);
   run_forecast one = model.Forecast("r", 100, 2600);
   CHECK(one.mRunMs == doctest::Approx(200).epsilon(0.05));
   CHECK(one.mSigma < 0.2);
   CHECK(model.Forecast("other", 100, 2600).mRunMs == 100);
-  CHECK(model.Forecast("r", 100, 0).mRunMs == 100);   // it does not say
-  CHECK(model.Forecast("r", 100, 1e9).mRunMs < 2000); // it waits for ever
+  CHECK(model.Forecast("r", 100, 0).mRunMs == 100);   // no timeout given
+  CHECK(model.Forecast("r", 100, 1e9).mRunMs < 2000); // bounded
 }
 
-TEST_CASE("waits that say nothing leave declared run times in force")
+TEST_CASE("timeouts unrelated to run times leave declared run times in use")
 {
-  // All callers of a route wait for the same time, or for one that has nothing
-  // to do with their work. A line through that would give every job the same
-  // run time, and the long ones would be placed where they end too late.
+  // All callers of a route have the same timeout, or timeouts that are
+  // unrelated to run times. A regression over them would forecast the same run
+  // time for every job, and long ones would be placed where they end too late.
   std::mt19937 random(2);
   for (double spreadMs : { 0.0, 400.0 }) {
     CAPTURE(spreadMs);
@@ -110,7 +111,7 @@
       double waitMs = 1500 + spreadMs * double(random() % 1000) / 1000;
       model.Observe("r", job.mDeclaredMs, waitMs, job.mRunMs);
       run_forecast made = model.Forecast("r", job.mDeclaredMs, waitMs);
-      // Far outliers of what is declared may be told from the middle.
+      // A declared run time that is a far outlier may be forecast as shorter.
       bool likely = made.mRunMs > 0.5 * job.mDeclaredMs;
       CHECK(likely);
       CHECK(made.mElapsedMs == 0);
@@ -118,7 +119,7 @@
   }
 }
 
-TEST_CASE("a route whose callers change how long they wait is learned anew")
+TEST_CASE("a route whose callers change their timeouts is fitted anew")
 {
   caller_model callers(4);
   timeout_model model;
@@ -128,17 +129,17 @@
   Teach(&model, &callers, 1000);
   CHECK(MeanError(model, &callers) < 0.15);
 
-  // All wait much less than before and look like callers that return.
+  // All timeouts become much shorter, so that all jobs look resubmitted.
   callers.mWaitBaseMs = 300;
   Teach(&model, &callers, 1000);
   CHECK(MeanError(model, &callers) < 0.15);
 }
 
-TEST_CASE("a job that is sent again is told from a short one")
+TEST_CASE("a resubmitted job is not taken for a job with a short run time")
 {
-  // A caller lost its connection and sends its job again 1.3 s later, with
-  // what is left of its time. If its short wait counted as little work, it
-  // would get the place of a job that can still be in time.
+  // A caller loses its connection and resubmits its job 1.3 s later with the
+  // rest of its timeout. If this short timeout were taken for a short run time,
+  // the job would take the place of one that can still meet its objective.
   caller_model callers(5);
   timeout_model model;
   Teach(&model, &callers, 300);
@@ -156,7 +157,7 @@
   CHECK(mistaken < 20);
 }
 
-TEST_CASE("lines survive storage, and what was seen more often stays")
+TEST_CASE("regressions can be stored and restored, and the greater weight wins")
 {
   caller_model callers(6);
   timeout_model model;
@@ -175,7 +176,8 @@
   CHECK(model.Merge(less).Ok());
   CHECK(model.Forecast("r", 50, 2600).mRunMs == before);
 
-  // Routes that are gone take no space, and a great many do not fill a row.
+  // Routes that no longer exist take no space, and very many routes do not
+  // exceed the size of a row.
   model.KeepOnly({ "other" });
   CHECK(model.Forecast("r", 50, 2600).mRunMs == 50);
   for (int i = 0; i < 2000; i++) {
@@ -190,17 +192,17 @@
       .Ok());
 }
 
-TEST_CASE("callers that return after an outage do not make new ones late")
+TEST_CASE("resubmitted jobs after an outage do not make new jobs late")
 {
-  // The only entry loses power for a second at 60% load. All who were cut off
-  // or found nobody come back with what is left of their time, together with
-  // those who come as ever: for a second there is more work than room. The
-  // objective of most who return is over. If they were served as if they were
-  // new, a class of learners who come just then would wait at the door too.
+  // The only entry is down for a second at 60% load. Callers that lost their
+  // connection or could not connect resubmit with the rest of their timeout
+  // while new jobs arrive as before, so that for a second there is more work
+  // than capacity. The objective of most resubmitted jobs has passed. If they
+  // were placed like new ones, the new ones would be late too.
   sized_world world(1, 4, 41);
   world.CountDownWaits();
   caller_model callers(7);
-  // By job, when it has to be answered.
+  // When each new job has to be answered.
   std::map<uint64_t, instant> fresh;
   auto submit = [&world, &callers, &fresh](bool aCounts) {
     caller_model::job job = callers.Next();
@@ -231,7 +233,7 @@
     world.At(at, [&world, &submit, down, counts] {
       uint64_t id = submit(counts);
       if (down) {
-        // Who came just as the entry was back has its answer and stays away.
+        // A job sent just as the entry came back already has its answer.
         world.At(milliseconds(1300), [&world, id] {
           if (!world.LastOf(id).mAnswered) {
             world.SubmitAgain(id, 0);
--- a/cactusmast/timeout_model.cc
+++ b/cactusmast/timeout_model.cc
@@ -13,28 +13,33 @@
 namespace cactusmast {
 namespace {
 
-// A pair counts for this much of its weight after the next one: about the last
-// two hundred decide.
+// Each new observation multiplies the weight of the earlier ones by this, so
+// that about the latest two hundred count.
 constexpr double kFade = 0.995;
-// Fewer pairs give no line.
+// No regression is fitted to a smaller weight of observations.
 constexpr double kLeastWeight = 20;
-// Of the variance of run times, by the line. A line through pairs that have
-// nothing to do with each other can still be better than poor declarations, but
-// its slope says nothing of the time that has passed.
+// Minimum share of the variance of run times that the regression explains. A
+// regression over unrelated timeouts and run times can still be better than
+// poor declarations, but its slope does not tell the elapsed time of a job.
 constexpr double kLeastExplainedShare = 0.4;
-// Waits that hardly differ give none either; in ms.
+// No regression is fitted if the standard deviation of the timeouts is smaller;
+// in ms.
 constexpr double kLeastWaitDeviation = 5;
-// Neither is known better than this; also keeps logarithms finite.
+// Forecasts are not taken to be more precise than this.
 constexpr double kLeastSigma = 0.08;
+// Shorter run times count as this, which keeps logarithms finite.
 constexpr double kMinRunMs = 1;
-// Declared run times are further off than this many deviations in one job of
-// two hundred.
+// Declared run times are off by more than this many standard deviations in one
+// job of two hundred. A job whose forecast is shorter by more looks
+// resubmitted.
 constexpr double kReturnedSigmas = 2.6;
-// A caller that waits for days does not ask for a task of days.
+// A forecast exceeds the declared run time by at most this many standard
+// deviations: a timeout of days does not mean a task of days.
 constexpr double kLongestSigmas = 2 * kReturnedSigmas;
-// If nearly all latest jobs seem to be sent again, callers have changed how
-// long they wait, and the line is begun anew.
+// If a larger share of the latest jobs looks resubmitted, callers have changed
+// their timeouts, and the regression starts anew.
 constexpr double kChangedShare = 0.9;
+// Weight that the share of resubmitted jobs keeps at each job.
 constexpr double kReturnedFade = 0.98;
 constexpr size_t kSums = 9;
 
@@ -163,7 +168,10 @@
                  return std::isfinite(aSum) && aSum >= 0;
                });
   if (!sound) {
-    return failure(error_code::BadRequest, "decode", "store", "no sums");
+    return failure(error_code::BadRequest,
+                   "decode",
+                   "store",
+                   "invalid sums of a regression");
   }
   timeout_regression made;
   made.mWeight = aSums[0];
@@ -234,7 +242,10 @@
     message decoded = std::move(DecodeFrame(aBytes, "store").Value());
     const wire::wait_lines_msg* record = decoded.Aswait_lines();
     if (record == nullptr) {
-      throw failure(error_code::Protocol, "decode", "store", "no wait lines");
+      throw failure(error_code::Protocol,
+                    "decode",
+                    "store",
+                    "message does not hold a timeout model");
     }
     std::map<std::string, timeout_regression> read;
     for (const auto& one : record->lines) {
--- a/cactusmast/timeout_model.h
+++ b/cactusmast/timeout_model.h
@@ -1,25 +1,27 @@
-// What the time that a caller waits says about its job.
+// Forecasts run times from caller timeouts.
 //
 // Declared run times are often off by half. Callers know their own work: one
-// that asks for longer tasks usually waits longer. So a line is fitted for each
-// route through pairs of wait and run time of tasks that have ended:
+// that asks for longer tasks usually also waits longer. For each route, a
+// linear regression is therefore fitted to caller timeouts and run times of
+// tasks that have ended:
 //
-//   run time = intercept + slope * wait
+//   run time = intercept + slope * timeout
 //
-// Whether it predicts better than the declared run time is observed too, and
-// only then it is used: where waits say nothing, declared run times stand.
+// Its errors are compared with those of the declared run times, and it is used
+// only while they are smaller. Where timeouts say nothing about run times, the
+// declared ones are used.
 //
-// A caller that lost its connection sends its job again and waits only for what
-// is left of its time, which it does not say. Its wait is then shorter than any
-// that its declared run time explains, and what it lacks is about the time that
-// has passed. Such a job must not be taken for one of a very short run time,
-// nor for a new one: its objective has begun earlier.
+// A caller that has lost its connection resubmits its job with the rest of its
+// timeout and does not say so. This timeout is shorter than the declared run
+// time can explain, and the difference is about the time that has elapsed. Such
+// a job must be taken neither for one with a very short run time nor for a new
+// one, because its objective began earlier.
 //
-// Pairs fade, so that the line follows routes that change. It can be kept
-// elsewhere (Encode) for the time after a restart, when nothing was observed
-// yet and much is asked at once.
+// Observations decay, so that the regression follows routes that change. The
+// model can be stored (Encode) and restored after a restart (Merge), when
+// nothing has been observed yet and many jobs arrive at once.
 //
-// Run times are on a backend server of ordinary speed.
+// Run times are those on a backend server of ordinary speed.
 
 #ifndef CACTUSMAST_TIMEOUT_MODEL_H_
 #define CACTUSMAST_TIMEOUT_MODEL_H_
@@ -37,19 +39,21 @@
 struct run_forecast
 {
   double mRunMs = 0;
-  // Deviation of the logarithm of the factor by which it is off.
+  // Standard deviation of the logarithm of actual over forecast run time.
   double mSigma = 0;
-  // Since its caller first sent the job; 0 for a new one.
+  // Time since the caller first sent the job; 0 for a new job.
   double mElapsedMs = 0;
 };
 
-// The line of one route.
+// The linear regression of one route.
 class timeout_regression
 {
 public:
+  // A task that ended. Jobs that look resubmitted are not fitted.
   void Observe(double aDeclaredMs, double aWaitMs, double aRunMs);
+  // aWaitMs: 0 if the caller has not given a timeout.
   run_forecast Forecast(double aDeclaredMs, double aWaitMs) const;
-  // Sum of the weights of all pairs; bounded because they fade.
+  // Sum of the weights of all observations; bounded because they decay.
   double Weight() const { return mWeight; }
 
   // The decayed sums, in a fixed order, for storage.
@@ -58,33 +62,39 @@
   static result<timeout_regression> FromSums(const std::vector<double>& aSums);
 
 private:
+  // Whether there are enough observations, and timeouts explain run times.
   bool IsFitted() const;
   // Whether it predicts better than declared run times do.
   bool IsBetter() const;
   double Slope() const;
   double RunAt(double aWaitMs) const;
+  // Decays all sums before an observation is added.
   void Fade();
 
+  // Decayed sums over the fitted observations; times in ms.
   double mWeight = 0;
   double mWaits = 0;
   double mRuns = 0;
   double mWaitSquares = 0;
   double mProducts = 0;
   double mRunSquares = 0;
-  // Squared logarithms of run time over prediction, of either kind.
+  // Decayed weight of the observations that were compared with both
+  // predictions, and sums of the squared logarithms of run time over either
+  // prediction.
   double mJudged = 0;
   double mLineErrors = 0;
   double mDeclaredErrors = 0;
-  double mReturnedShare = 0; // of the latest jobs
+  double mReturnedShare = 0; // share of the latest jobs that look resubmitted
 };
 
-// A row holds 64 KB, a line takes about 100 bytes.
+// A row of the store holds 64 KB, a regression takes about 100 bytes.
 constexpr size_t kMaxStoredRegressions = 300;
 
+// The regressions of all routes.
 class timeout_model
 {
 public:
-  // Only what was seen on this route.
+  // Updates the regression of aRoute only.
   void Observe(const std::string& aRoute,
                double aDeclaredMs,
                double aWaitMs,
@@ -93,15 +103,17 @@
                         double aDeclaredMs,
                         double aWaitMs) const;
 
-  // Forgets the lines of all other routes: routes come and go for years.
+  // Removes the regressions of all other routes. Otherwise they would
+  // accumulate, because routes come and go for years.
   void KeepOnly(const std::set<std::string>& aRoutes);
-  // As bytes of a row: the lines that rest on most, kMaxStoredRegressions of
-  // them.
+  // The value of a row of the store: the regressions of greatest weight, at
+  // most kMaxStoredRegressions of them.
   std::string Encode() const;
-  // Takes over the lines of routes of which less was seen here. Errors:
-  // Protocol; nothing is taken over then.
+  // Takes over each regression of greater weight than the own one of its route.
+  // False if aBytes has none. On an error nothing is taken over. Errors:
+  // BadRequest for invalid sums, Protocol for other undecodable bytes.
   result<bool> Merge(const std::string& aBytes);
-  // Pairs learned here so far.
+  // The number of calls of Observe.
   uint64_t Observations() const { return mLearned; }
 
 private:
