--- a/cactusmast/evacuation.cc
+++ b/cactusmast/evacuation.cc
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 
 // Greatest age that is sent. A greater one makes no difference to the receiver.
-constexpr int64_t kLongestAgeMs = 3600 * 1000;
+constexpr int64_t kMaxAgeMs = 3600 * 1000;
 
 } // namespace
 
@@ -47,13 +47,13 @@
 }
 
 bool
-evacuation_tracker::Update(const evacuation_update& aNews)
+evacuation_tracker::Update(const evacuation_update& aUpdate)
 {
-  const evacuation_state& state = aNews.mState;
+  const evacuation_state& state = aUpdate.mState;
   if (state.mVersion < mState.mVersion) {
     return false;
   }
-  mConfirmedAt = std::max(mConfirmedAt, aNews.mConfirmedAt);
+  mConfirmedAt = std::max(mConfirmedAt, aUpdate.mConfirmedAt);
   mState.mVersion = state.mVersion;
   if (state.mDataCenters == mState.mDataCenters) {
     return false;
@@ -62,26 +62,27 @@
   std::map<std::string, instant> before = std::move(mSince);
   mSince.clear();
   for (const std::string& center : mState.mDataCenters) {
-    auto known = before.find(center);
-    mSince[center] = known == before.end() ? aNews.mConfirmedAt : known->second;
+    auto formerSince = before.find(center);
+    mSince[center] =
+      formerSince == before.end() ? aUpdate.mConfirmedAt : formerSince->second;
   }
   return true;
 }
 
 std::unique_ptr<wire::evacuations_msg>
-EncodeEvacuations(const evacuation_tracker& aRecord, instant aNow)
+EncodeEvacuations(const evacuation_tracker& aTracker, instant aNow)
 {
-  const evacuation_state& state = aRecord.State();
+  const evacuation_state& state = aTracker.State();
   if (state.mVersion == 0) {
     return nullptr;
   }
-  auto made = std::make_unique<wire::evacuations_msg>();
-  made->version = state.mVersion;
-  made->data_centers.assign(state.mDataCenters.begin(),
-                            state.mDataCenters.end());
-  made->age_ms =
-    uint32_t(std::clamp<int64_t>(ToMs(aRecord.Age(aNow)), 0, kLongestAgeMs));
-  return made;
+  auto encoded = std::make_unique<wire::evacuations_msg>();
+  encoded->version = state.mVersion;
+  encoded->data_centers.assign(state.mDataCenters.begin(),
+                               state.mDataCenters.end());
+  encoded->age_ms =
+    uint32_t(std::clamp<int64_t>(ToMs(aTracker.Age(aNow)), 0, kMaxAgeMs));
+  return encoded;
 }
 
 std::optional<evacuation_update>
@@ -90,12 +91,12 @@
   if (aMessage == nullptr) {
     return std::nullopt;
   }
-  evacuation_update news;
-  news.mState.mVersion = aMessage->version;
-  news.mState.mDataCenters.insert(aMessage->data_centers.begin(),
-                                  aMessage->data_centers.end());
-  news.mConfirmedAt = aNow - milliseconds(aMessage->age_ms);
-  return news;
+  evacuation_update update;
+  update.mState.mVersion = aMessage->version;
+  update.mState.mDataCenters.insert(aMessage->data_centers.begin(),
+                                    aMessage->data_centers.end());
+  update.mConfirmedAt = aNow - milliseconds(aMessage->age_ms);
+  return update;
 }
 
 std::string
--- a/cactusmast/evacuation.h
+++ b/cactusmast/evacuation.h
@@ -84,9 +84,9 @@
 class evacuation_tracker
 {
 public:
-  // Takes aNews over unless a newer state is known. True if the set of
+  // Takes aUpdate over unless a newer state is known. True if the set of
   // evacuated data centres has changed.
-  bool Update(const evacuation_update& aNews);
+  bool Update(const evacuation_update& aUpdate);
 
   bool Has(const std::string& aDataCenter) const
   {
@@ -106,7 +106,7 @@
 
 // For messages between processes. Null if no state is known yet.
 std::unique_ptr<wire::evacuations_msg>
-EncodeEvacuations(const evacuation_tracker& aRecord, instant aNow);
+EncodeEvacuations(const evacuation_tracker& aTracker, instant aNow);
 
 // Empty for a null aMessage: its sender knows no state yet.
 std::optional<evacuation_update>
--- a/cactusmast/testing/evacuation_test.cc
+++ b/cactusmast/testing/evacuation_test.cc
@@ -12,7 +12,7 @@
 using std::chrono::seconds;
 
 // Reads rows "out/NAME"; any value but "?" is readable.
-class plain_codec : public evacuation_codec
+class test_codec : public evacuation_codec
 {
 public:
   std::optional<std::string> DataCenterOf(
@@ -28,18 +28,18 @@
 };
 
 // An evacuation_reader with its codec and event sink.
-struct reader
+struct reader_fixture
 {
   std::string Apply(const std::vector<store_row>& aRows,
                     uint64_t aVersion,
                     bool aWhole)
   {
-    return NamesOf(mRows.Apply({ aRows, aVersion, aWhole }));
+    return NamesOf(mReader.Apply({ aRows, aVersion, aWhole }));
   }
 
-  plain_codec mCodec;
+  test_codec mCodec;
   silent_events mEvents;
-  evacuation_reader mRows{ mCodec, mEvents };
+  evacuation_reader mReader{ mCodec, mEvents };
 };
 
 store_row
@@ -53,11 +53,11 @@
 // Submits jobs at all entries for aSpan, well within the capacity of two of
 // three data centres.
 void
-PlayCallers(sized_world* aWorld, duration aSpan)
+SubmitJobs(sized_world* aWorld, duration aSpan)
 {
-  constexpr duration kBetween = milliseconds(10);
+  constexpr duration kInterval = milliseconds(10);
   size_t number = 0;
-  for (duration at{}; at < aSpan; at += kBetween) {
+  for (duration at{}; at < aSpan; at += kInterval) {
     size_t entry = number++ % aWorld->Entries();
     aWorld->At(at, [aWorld, entry] { aWorld->Submit(entry, 4, 100, 3000); });
   }
@@ -65,7 +65,7 @@
 }
 
 void
-CheckNothingBroken(const sized_world& aWorld)
+CheckNoViolations(const sized_world& aWorld)
 {
   for (const std::string& text : aWorld.Violations()) {
     FAIL_CHECK(text);
@@ -87,39 +87,39 @@
 
 TEST_CASE("evacuations follow changes of rows and snapshots of the table")
 {
-  reader one;
-  CHECK(one.Apply({ Row("config"), Row("out/a") }, 5, true) == "a");
-  CHECK(one.Apply({ Row("out/b") }, 6, false) == "a,b");
-  CHECK(one.Apply({ { "out/a", "", true, "" } }, 7, false) == "b");
-  CHECK(one.Apply({}, 8, false) == "b");
+  reader_fixture reader;
+  CHECK(reader.Apply({ Row("config"), Row("out/a") }, 5, true) == "a");
+  CHECK(reader.Apply({ Row("out/b") }, 6, false) == "a,b");
+  CHECK(reader.Apply({ { "out/a", "", true, "" } }, 7, false) == "b");
+  CHECK(reader.Apply({}, 8, false) == "b");
   // Guards against an evacuation that never ends because the deletion of its
   // row was missed: the store no longer had the history of that time.
-  CHECK(one.Apply({ Row("config") }, 9, true) == "");
+  CHECK(reader.Apply({ Row("config") }, 9, true) == "");
 }
 
 TEST_CASE("an unreadable row does not change the state of its data centre")
 {
   // Guards against invalid rows of another writer that begin or end an
   // evacuation.
-  reader one;
-  CHECK(one.Apply({ Row("out/a", "?"), Row("wave/1", "?") }, 5, true) == "");
-  CHECK(one.Apply({ Row("out/a") }, 6, false) == "a");
-  CHECK(one.Apply({ Row("out/a", "?") }, 7, false) == "a");
-  CHECK(one.Apply({ Row("out/a", "?"), Row("out/b", "?") }, 8, true) == "a");
+  reader_fixture reader;
+  CHECK(reader.Apply({ Row("out/a", "?"), Row("wave/1", "?") }, 5, true) == "");
+  CHECK(reader.Apply({ Row("out/a") }, 6, false) == "a");
+  CHECK(reader.Apply({ Row("out/a", "?") }, 7, false) == "a");
+  CHECK(reader.Apply({ Row("out/a", "?"), Row("out/b", "?") }, 8, true) == "a");
 }
 
 TEST_CASE("a tracker never goes back to an older version")
 {
   // Guards against an entry that is disconnected from the store and sends an
   // earlier state.
-  evacuation_tracker record;
-  CHECK(record.Update({ { 10, { "a" } }, seconds(10) }));
-  CHECK(record.Update({ { 12, {} }, seconds(12) }));
-  CHECK(!record.Update({ { 11, { "a" } }, seconds(13) }));
-  CHECK(!record.Has("a"));
-  CHECK(record.Age(seconds(14)) == seconds(2));
-  CHECK(!record.Update({ { 12, {} }, seconds(13) }));
-  CHECK(record.Age(seconds(14)) == seconds(1));
+  evacuation_tracker tracker;
+  CHECK(tracker.Update({ { 10, { "a" } }, seconds(10) }));
+  CHECK(tracker.Update({ { 12, {} }, seconds(12) }));
+  CHECK(!tracker.Update({ { 11, { "a" } }, seconds(13) }));
+  CHECK(!tracker.Has("a"));
+  CHECK(tracker.Age(seconds(14)) == seconds(2));
+  CHECK(!tracker.Update({ { 12, {} }, seconds(13) }));
+  CHECK(tracker.Age(seconds(14)) == seconds(1));
 }
 
 TEST_CASE("a message carries the state of its sender and its age")
@@ -133,10 +133,10 @@
   EncodeFrame(MakeMessage(std::move(pulse)), &frame);
   message read = std::move(DecodeFrame(frame, "entry").Value());
   evacuation_tracker receiver;
-  auto news =
+  auto update =
     DecodeEvacuations(read.Asentry_pulse()->evacuating.get(), seconds(20));
-  REQUIRE(news);
-  CHECK(receiver.Update(*news));
+  REQUIRE(update);
+  CHECK(receiver.Update(*update));
   CHECK(NamesOf(receiver.State()) == "a,b");
   CHECK(receiver.Age(seconds(20)) == seconds(3));
   CHECK(!DecodeEvacuations(nullptr, seconds(21)));
@@ -148,11 +148,11 @@
   // off.
   sized_world world(3, kServers, 1, {}, 3);
   world.At(seconds(1), [&] { world.Evacuate("b"); });
-  PlayCallers(&world, seconds(3));
+  SubmitJobs(&world, seconds(3));
   CHECK(world.CountEnding(job_ending::Completed) == world.Callers().size());
   CHECK(world.CountInTime(milliseconds(220)) >=
         world.Callers().size() * 9 / 10);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("tasks queued in a data centre move elsewhere when it is evacuated")
@@ -172,7 +172,7 @@
   CHECK(world.LastOf(queued).mAnsweredAt - world.LastOf(queued).mSentAt <=
         milliseconds(300));
   CHECK(world.Server(1).mStarts == 30);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("tasks running in a data centre when it is evacuated end there")
@@ -185,7 +185,7 @@
   world.Run(seconds(2));
   CHECK(world.LastOf(job).mEnding == job_ending::Completed);
   CHECK(StartsIn(world, "a") + StartsIn(world, "b") == 40);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("jobs are refused at once while all data centres are evacuated")
@@ -205,7 +205,7 @@
   uint64_t later = world.Submit(1, 2, 100);
   world.Run(seconds(1));
   CHECK(world.LastOf(later).mEnding == job_ending::Completed);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("a data centre gets tasks again after its evacuation, without a rush")
@@ -215,7 +215,7 @@
   sized_world world(6, kServers, 5, {}, 3);
   world.Evacuate("c");
   world.At(seconds(1), [&] { world.TakeBack("c"); });
-  PlayCallers(&world, seconds(3));
+  SubmitJobs(&world, seconds(3));
   CHECK(StartsIn(world, "c") > 100);
   CHECK(world.CountEnding(job_ending::Completed) == world.Callers().size());
   uint64_t attempts = 0;
@@ -225,7 +225,7 @@
     bounced += world.Coordinator(i).Counters().mBounced;
   }
   CHECK(bounced * 20 < attempts);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("a restarted executor knows of an evacuation before it starts tasks")
@@ -239,8 +239,8 @@
   world.At(milliseconds(1500), [&] { world.KillEntry(0, milliseconds(300)); });
   world.At(milliseconds(1900),
            [&] { world.KillExecutor(3, milliseconds(200)); });
-  PlayCallers(&world, seconds(3));
-  CheckNothingBroken(world);
+  SubmitJobs(&world, seconds(3));
+  CheckNoViolations(world);
 }
 
 TEST_CASE("an evacuation holds when all processes and the store are lost")
@@ -259,10 +259,10 @@
   }
   world.StopStore(seconds(2));
   world.Run(milliseconds(600));
-  PlayCallers(&world, seconds(3));
+  SubmitJobs(&world, seconds(3));
   CHECK(world.CountEnding(job_ending::Refused) > 50);
   CHECK(world.CountEnding(job_ending::Completed) > 100);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("entries without the store get evacuations from other processes")
@@ -272,24 +272,24 @@
   world.CutFromStore(0, seconds(20));
   world.CutFromStore(1, seconds(20));
   world.At(seconds(1), [&] { world.Evacuate("b"); });
-  PlayCallers(&world, seconds(3));
+  SubmitJobs(&world, seconds(3));
   CHECK(world.CountEnding(job_ending::Completed) == world.Callers().size());
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("executors read the store when no entry can reach it")
 {
   // Guards against executors that rely on the outdated state of entries
   // although they can reach the store themselves.
-  constexpr duration kBound = seconds(5);
+  constexpr duration kMaxStateAge = seconds(5);
   sized_world world(1, 6, 9, {}, 3);
-  world.SetEvacuationBound(kBound);
+  world.SetEvacuationBound(kMaxStateAge);
   world.Run(seconds(1));
   world.CutFromStore(0, seconds(30));
   world.At(seconds(1), [&] { world.Evacuate("b"); });
-  PlayCallers(&world, seconds(9));
+  SubmitJobs(&world, seconds(9));
   CHECK(world.CountEnding(job_ending::Completed) == world.Callers().size());
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("an evacuation during an outage of the store holds once it is back")
@@ -303,8 +303,8 @@
     world.Evacuate("b");
   });
   world.At(milliseconds(1500), [&] { world.KillEntry(1, milliseconds(400)); });
-  PlayCallers(&world, seconds(6));
-  CheckNothingBroken(world);
+  SubmitJobs(&world, seconds(6));
+  CheckNoViolations(world);
 }
 
 TEST_CASE("an evacuation holds within a second at high load in a large fleet")
@@ -321,16 +321,16 @@
   }
   world.Run(seconds(5));
   CHECK(world.CountEnding(job_ending::Completed) >= 5400);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("executors do not read the store while entries can reach it")
 {
   // Guards against a request per executor and second to the shared store.
   sized_world world(2, 6, 12, {}, 3);
-  PlayCallers(&world, seconds(6));
+  SubmitJobs(&world, seconds(6));
   CHECK(world.StoreAsks() == 0);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 } // namespace cactusmast::testing
--- a/cactusmast/testing/timeout_model_test.cc
+++ b/cactusmast/testing/timeout_model_test.cc
@@ -15,10 +15,10 @@
 using std::chrono::seconds;
 
 // Generates jobs of callers whose timeout depends on the run time.
-class caller_model
+class job_generator
 {
 public:
-  explicit caller_model(uint32_t aSeed)
+  explicit job_generator(uint32_t aSeed)
     : mRandom(aSeed)
   {
   }
@@ -27,7 +27,7 @@
   {
     double mRunMs = 0;
     double mDeclaredMs = 0;
-    double mWaitMs = 0;
+    double mTimeoutMs = 0;
   };
 
   job Next()
@@ -35,12 +35,12 @@
     job made;
     made.mRunMs = 200 * std::exp(mRunSpread(mRandom));
     made.mDeclaredMs = made.mRunMs * std::exp(mDeclaredError(mRandom));
-    made.mWaitMs = mWaitBaseMs + mWaitPerRunMs * made.mRunMs;
+    made.mTimeoutMs = mTimeoutBaseMs + mTimeoutPerRunMs * made.mRunMs;
     return made;
   }
 
-  double mWaitBaseMs = 1600;
-  double mWaitPerRunMs = 5;
+  double mTimeoutBaseMs = 1600;
+  double mTimeoutPerRunMs = 5;
 
 private:
   std::mt19937 mRandom;
@@ -50,29 +50,29 @@
 
 // The objective by the route of sized_world.
 duration
-ObjectiveOf(const caller_model::job& aJob)
+ObjectiveOf(const job_generator::job& aJob)
 {
   return milliseconds(int64_t(1.6 * aJob.mRunMs + 60));
 }
 
 void
-Teach(timeout_model* aModel, caller_model* aCallers, int aJobs)
+ObserveJobs(timeout_model* aModel, job_generator* aGenerator, int aJobs)
 {
   for (int i = 0; i < aJobs; i++) {
-    caller_model::job job = aCallers->Next();
-    aModel->Observe("r", job.mDeclaredMs, job.mWaitMs, job.mRunMs);
+    job_generator::job job = aGenerator->Next();
+    aModel->Observe("r", job.mDeclaredMs, job.mTimeoutMs, job.mRunMs);
   }
 }
 
 // Mean absolute logarithm of forecast over run time for new jobs.
 double
-MeanError(const timeout_model& aModel, caller_model* aCallers)
+MeanError(const timeout_model& aModel, job_generator* aGenerator)
 {
   double sum = 0;
   for (int i = 0; i < 500; i++) {
-    caller_model::job job = aCallers->Next();
+    job_generator::job job = aGenerator->Next();
     double forecastMs =
-      aModel.Forecast("r", job.mDeclaredMs, job.mWaitMs).mRunMs;
+      aModel.Forecast("r", job.mDeclaredMs, job.mTimeoutMs).mRunMs;
     sum += std::abs(std::log(forecastMs / job.mRunMs));
   }
   return sum / 500;
@@ -83,11 +83,11 @@
 TEST_CASE(
   "caller timeouts forecast run times better than declared run times do")
 {
-  caller_model callers(1);
+  job_generator generator(1);
   timeout_model model;
-  CHECK(MeanError(model, &callers) > 0.25); // declared run times
-  Teach(&model, &callers, 100);
-  CHECK(MeanError(model, &callers) < 0.05);
+  CHECK(MeanError(model, &generator) > 0.25); // declared run times
+  ObserveJobs(&model, &generator, 100);
+  CHECK(MeanError(model, &generator) < 0.05);
   run_forecast one = model.Forecast("r", 100, 2600);
   CHECK(one.mRunMs == doctest::Approx(200).epsilon(0.05));
   CHECK(one.mSigma < 0.2);
@@ -104,13 +104,13 @@
   std::mt19937 random(2);
   for (double spreadMs : { 0.0, 400.0 }) {
     CAPTURE(spreadMs);
-    caller_model callers(3);
+    job_generator generator(3);
     timeout_model model;
     for (int i = 0; i < 300; i++) {
-      caller_model::job job = callers.Next();
-      double waitMs = 1500 + spreadMs * double(random() % 1000) / 1000;
-      model.Observe("r", job.mDeclaredMs, waitMs, job.mRunMs);
-      run_forecast made = model.Forecast("r", job.mDeclaredMs, waitMs);
+      job_generator::job job = generator.Next();
+      double timeoutMs = 1500 + spreadMs * double(random() % 1000) / 1000;
+      model.Observe("r", job.mDeclaredMs, timeoutMs, job.mRunMs);
+      run_forecast made = model.Forecast("r", job.mDeclaredMs, timeoutMs);
       // A declared run time that is a far outlier may be forecast as shorter.
       bool likely = made.mRunMs > 0.5 * job.mDeclaredMs;
       CHECK(likely);
@@ -121,18 +121,18 @@
 
 TEST_CASE("a route whose callers change their timeouts is fitted anew")
 {
-  caller_model callers(4);
+  job_generator generator(4);
   timeout_model model;
-  Teach(&model, &callers, 400);
-  callers.mWaitBaseMs = 3000;
-  callers.mWaitPerRunMs = 2;
-  Teach(&model, &callers, 1000);
-  CHECK(MeanError(model, &callers) < 0.15);
+  ObserveJobs(&model, &generator, 400);
+  generator.mTimeoutBaseMs = 3000;
+  generator.mTimeoutPerRunMs = 2;
+  ObserveJobs(&model, &generator, 1000);
+  CHECK(MeanError(model, &generator) < 0.15);
 
   // All timeouts become much shorter, so that all jobs look resubmitted.
-  callers.mWaitBaseMs = 300;
-  Teach(&model, &callers, 1000);
-  CHECK(MeanError(model, &callers) < 0.15);
+  generator.mTimeoutBaseMs = 300;
+  ObserveJobs(&model, &generator, 1000);
+  CHECK(MeanError(model, &generator) < 0.15);
 }
 
 TEST_CASE("a resubmitted job is not taken for a job with a short run time")
@@ -140,28 +140,28 @@
   // A caller loses its connection and resubmits its job 1.3 s later with the
   // rest of its timeout. If this short timeout were taken for a short run time,
   // the job would take the place of one that can still meet its objective.
-  caller_model callers(5);
+  job_generator generator(5);
   timeout_model model;
-  Teach(&model, &callers, 300);
-  int returned = 0;
-  int mistaken = 0;
+  ObserveJobs(&model, &generator, 300);
+  int resubmitted = 0;
+  int falsePositives = 0;
   for (int i = 0; i < 1000; i++) {
-    caller_model::job job = callers.Next();
-    run_forecast first = model.Forecast("r", job.mDeclaredMs, job.mWaitMs);
-    mistaken += first.mElapsedMs > 0 ? 1 : 0;
+    job_generator::job job = generator.Next();
+    run_forecast first = model.Forecast("r", job.mDeclaredMs, job.mTimeoutMs);
+    falsePositives += first.mElapsedMs > 0 ? 1 : 0;
     run_forecast again =
-      model.Forecast("r", job.mDeclaredMs, job.mWaitMs - 1300);
-    returned += again.mElapsedMs > 300 ? 1 : 0;
+      model.Forecast("r", job.mDeclaredMs, job.mTimeoutMs - 1300);
+    resubmitted += again.mElapsedMs > 300 ? 1 : 0;
   }
-  CHECK(returned > 850);
-  CHECK(mistaken < 20);
+  CHECK(resubmitted > 850);
+  CHECK(falsePositives < 20);
 }
 
 TEST_CASE("regressions can be stored and restored, and the greater weight wins")
 {
-  caller_model callers(6);
+  job_generator generator(6);
   timeout_model model;
-  Teach(&model, &callers, 200);
+  ObserveJobs(&model, &generator, 200);
   std::string bytes = model.Encode();
 
   timeout_model restarted;
@@ -169,11 +169,11 @@
   CHECK(restarted.Forecast("r", 50, 2600).mRunMs ==
         doctest::Approx(model.Forecast("r", 50, 2600).mRunMs));
 
-  timeout_model young;
-  Teach(&young, &callers, 20);
-  std::string less = young.Encode();
+  timeout_model lightModel;
+  ObserveJobs(&lightModel, &generator, 20);
+  std::string lightBytes = lightModel.Encode();
   double before = model.Forecast("r", 50, 2600).mRunMs;
-  CHECK(model.Merge(less).Ok());
+  CHECK(model.Merge(lightBytes).Ok());
   CHECK(model.Forecast("r", 50, 2600).mRunMs == before);
 
   // Routes that no longer exist take no space, and very many routes do not
@@ -201,37 +201,37 @@
   // were placed like new ones, the new ones would be late too.
   sized_world world(1, 4, 41);
   world.CountDownWaits();
-  caller_model callers(7);
+  job_generator generator(7);
   // When each new job has to be answered.
-  std::map<uint64_t, instant> fresh;
-  auto submit = [&world, &callers, &fresh](bool aCounts) {
-    caller_model::job job = callers.Next();
+  std::map<uint64_t, instant> answerBy;
+  auto submit = [&world, &generator, &answerBy](bool aIsNew) {
+    job_generator::job job = generator.Next();
     uint64_t id = world.Submit(0,
                                2,
                                uint32_t(job.mRunMs),
-                               uint32_t(job.mWaitMs),
+                               uint32_t(job.mTimeoutMs),
                                uint32_t(job.mDeclaredMs));
-    if (aCounts) {
-      fresh[id] = world.Now() + ObjectiveOf(job);
+    if (aIsNew) {
+      answerBy[id] = world.Now() + ObjectiveOf(job);
     }
     return id;
   };
   constexpr auto kInterval = milliseconds(17);
-  constexpr auto kOutage = seconds(5);
-  constexpr auto kBack = kOutage + seconds(1);
-  std::string kept;
-  world.At(kOutage - milliseconds(1), [&] {
-    kept = world.Coordinator(0).TimeoutModel().Encode();
+  constexpr auto kOutageStart = seconds(5);
+  constexpr auto kRestart = kOutageStart + seconds(1);
+  std::string stored;
+  world.At(kOutageStart - milliseconds(1), [&] {
+    stored = world.Coordinator(0).TimeoutModel().Encode();
     world.KillEntry(0, seconds(1));
   });
-  world.At(kBack + milliseconds(1), [&] {
-    REQUIRE(world.Coordinator(0).TimeoutModel().Merge(kept).Ok());
+  world.At(kRestart + milliseconds(1), [&] {
+    REQUIRE(world.Coordinator(0).TimeoutModel().Merge(stored).Ok());
   });
   for (duration at{ 0 }; at < seconds(8); at += kInterval) {
-    bool down = at >= kOutage && at < kBack + milliseconds(2);
-    bool counts = at >= kBack + milliseconds(300);
-    world.At(at, [&world, &submit, down, counts] {
-      uint64_t id = submit(counts);
+    bool down = at >= kOutageStart && at < kRestart + milliseconds(2);
+    bool isNew = at >= kRestart + milliseconds(300);
+    world.At(at, [&world, &submit, down, isNew] {
+      uint64_t id = submit(isNew);
       if (down) {
         // A job sent just as the entry came back already has its answer.
         world.At(milliseconds(1300), [&world, id] {
@@ -244,13 +244,13 @@
   }
   world.Run(seconds(12));
   size_t inTime = 0;
-  for (const auto& [id, until] : fresh) {
+  for (const auto& [id, until] : answerBy) {
     const caller_record& one = world.LastOf(id);
     bool completed = one.mAnswered && one.mEnding == job_ending::Completed;
     inTime += completed && one.mAnsweredAt <= until ? 1 : 0;
   }
-  MESSAGE("in time ", inTime, " of ", fresh.size());
-  CHECK(inTime * 100 >= fresh.size() * 93);
+  MESSAGE("in time ", inTime, " of ", answerBy.size());
+  CHECK(inTime * 100 >= answerBy.size() * 93);
   for (const std::string& text : world.Violations()) {
     FAIL_CHECK(text);
   }
--- a/cactusmast/timeout_model.cc
+++ b/cactusmast/timeout_model.cc
@@ -15,40 +15,40 @@
 
 // Each new observation multiplies the weight of the earlier ones by this, so
 // that about the latest two hundred count.
-constexpr double kFade = 0.995;
+constexpr double kDecay = 0.995;
 // No regression is fitted to a smaller weight of observations.
-constexpr double kLeastWeight = 20;
+constexpr double kMinWeight = 20;
 // Minimum share of the variance of run times that the regression explains. A
 // regression over unrelated timeouts and run times can still be better than
 // poor declarations, but its slope does not tell the elapsed time of a job.
-constexpr double kLeastExplainedShare = 0.4;
+constexpr double kMinExplainedShare = 0.4;
 // No regression is fitted if the standard deviation of the timeouts is smaller;
 // in ms.
-constexpr double kLeastWaitDeviation = 5;
+constexpr double kMinTimeoutDeviationMs = 5;
 // Forecasts are not taken to be more precise than this.
-constexpr double kLeastSigma = 0.08;
+constexpr double kMinSigma = 0.08;
 // Shorter run times count as this, which keeps logarithms finite.
 constexpr double kMinRunMs = 1;
 // Declared run times are off by more than this many standard deviations in one
 // job of two hundred. A job whose forecast is shorter by more looks
 // resubmitted.
-constexpr double kReturnedSigmas = 2.6;
+constexpr double kResubmittedSigmas = 2.6;
 // A forecast exceeds the declared run time by at most this many standard
 // deviations: a timeout of days does not mean a task of days.
-constexpr double kLongestSigmas = 2 * kReturnedSigmas;
+constexpr double kMaxRunSigmas = 2 * kResubmittedSigmas;
 // If a larger share of the latest jobs looks resubmitted, callers have changed
 // their timeouts, and the regression starts anew.
-constexpr double kChangedShare = 0.9;
+constexpr double kMaxResubmittedShare = 0.9;
 // Weight that the share of resubmitted jobs keeps at each job.
-constexpr double kReturnedFade = 0.98;
-constexpr size_t kSums = 9;
+constexpr double kResubmittedDecay = 0.98;
+constexpr size_t kSumCount = 9;
 
 double
-SquaredLog(double aRunMs, double aPredictedMs)
+SquaredLogError(double aRunMs, double aPredictedMs)
 {
-  double off =
+  double logError =
     std::log(std::max(kMinRunMs, aRunMs) / std::max(kMinRunMs, aPredictedMs));
-  return off * off;
+  return logError * logError;
 }
 
 } // namespace
@@ -56,99 +56,102 @@
 bool
 timeout_regression::IsFitted() const
 {
-  if (mWeight < kLeastWeight) {
+  if (mWeight < kMinWeight) {
     return false;
   }
-  double waitSpread = mWaitSquares - mWaits * mWaits / mWeight;
-  double runSpread = mRunSquares - mRuns * mRuns / mWeight;
+  double timeoutSpread = mTimeoutSquares - mTimeoutSum * mTimeoutSum / mWeight;
+  double runSpread = mRunSquares - mRunSum * mRunSum / mWeight;
   bool varied =
-    waitSpread > kLeastWaitDeviation * kLeastWaitDeviation * mWeight;
+    timeoutSpread > kMinTimeoutDeviationMs * kMinTimeoutDeviationMs * mWeight;
   if (!varied || runSpread <= 0) {
     return false;
   }
   double slope = Slope();
   return slope > 0 &&
-         slope * slope * waitSpread / runSpread > kLeastExplainedShare;
+         slope * slope * timeoutSpread / runSpread > kMinExplainedShare;
 }
 
 bool
-timeout_regression::IsBetter() const
+timeout_regression::BeatsDeclared() const
 {
-  return IsFitted() && mJudged >= kLeastWeight / 2 &&
-         mLineErrors < mDeclaredErrors;
+  return IsFitted() && mErrorWeight >= kMinWeight / 2 &&
+         mRegressionErrors < mDeclaredErrors;
 }
 
 double
 timeout_regression::Slope() const
 {
-  double spread = mWaitSquares - mWaits * mWaits / mWeight;
-  return (mProducts - mWaits * mRuns / mWeight) / spread;
+  double spread = mTimeoutSquares - mTimeoutSum * mTimeoutSum / mWeight;
+  return (mProducts - mTimeoutSum * mRunSum / mWeight) / spread;
 }
 
 double
-timeout_regression::RunAt(double aWaitMs) const
+timeout_regression::PredictRunMs(double aTimeoutMs) const
 {
-  return mRuns / mWeight + Slope() * (aWaitMs - mWaits / mWeight);
+  return mRunSum / mWeight + Slope() * (aTimeoutMs - mTimeoutSum / mWeight);
 }
 
 void
-timeout_regression::Fade()
+timeout_regression::Decay()
 {
   for (double* sum : { &mWeight,
-                       &mWaits,
-                       &mRuns,
-                       &mWaitSquares,
+                       &mTimeoutSum,
+                       &mRunSum,
+                       &mTimeoutSquares,
                        &mProducts,
                        &mRunSquares,
-                       &mJudged,
-                       &mLineErrors,
+                       &mErrorWeight,
+                       &mRegressionErrors,
                        &mDeclaredErrors }) {
-    *sum *= kFade;
+    *sum *= kDecay;
   }
 }
 
 void
-timeout_regression::Observe(double aDeclaredMs, double aWaitMs, double aRunMs)
+timeout_regression::Observe(double aDeclaredMs,
+                            double aTimeoutMs,
+                            double aRunMs)
 {
-  bool returned = Forecast(aDeclaredMs, aWaitMs).mElapsedMs > 0;
-  mReturnedShare =
-    kReturnedFade * mReturnedShare + (1 - kReturnedFade) * (returned ? 1 : 0);
-  if (mReturnedShare > kChangedShare) {
+  bool resubmitted = Forecast(aDeclaredMs, aTimeoutMs).mElapsedMs > 0;
+  mResubmittedShare = kResubmittedDecay * mResubmittedShare +
+                      (1 - kResubmittedDecay) * (resubmitted ? 1 : 0);
+  if (mResubmittedShare > kMaxResubmittedShare) {
     *this = timeout_regression();
-  } else if (returned) {
+  } else if (resubmitted) {
     return;
   }
-  Fade();
+  Decay();
   if (IsFitted()) {
-    mJudged += 1;
-    mLineErrors += SquaredLog(aRunMs, RunAt(aWaitMs));
-    mDeclaredErrors += SquaredLog(aRunMs, aDeclaredMs);
+    mErrorWeight += 1;
+    mRegressionErrors += SquaredLogError(aRunMs, PredictRunMs(aTimeoutMs));
+    mDeclaredErrors += SquaredLogError(aRunMs, aDeclaredMs);
   }
   mWeight += 1;
-  mWaits += aWaitMs;
-  mRuns += aRunMs;
-  mWaitSquares += aWaitMs * aWaitMs;
-  mProducts += aWaitMs * aRunMs;
+  mTimeoutSum += aTimeoutMs;
+  mRunSum += aRunMs;
+  mTimeoutSquares += aTimeoutMs * aTimeoutMs;
+  mProducts += aTimeoutMs * aRunMs;
   mRunSquares += aRunMs * aRunMs;
 }
 
 run_forecast
-timeout_regression::Forecast(double aDeclaredMs, double aWaitMs) const
+timeout_regression::Forecast(double aDeclaredMs, double aTimeoutMs) const
 {
   run_forecast declared{ aDeclaredMs, kDeclaredSigma, 0 };
-  if (aWaitMs <= 0 || !IsBetter()) {
+  if (aTimeoutMs <= 0 || !BeatsDeclared()) {
     return declared;
   }
-  double declaredSigma = std::sqrt(mDeclaredErrors / mJudged);
-  double shortest = aDeclaredMs * std::exp(-kReturnedSigmas * declaredSigma);
-  double runMs = RunAt(aWaitMs);
-  if (runMs < shortest) {
+  double declaredSigma = std::sqrt(mDeclaredErrors / mErrorWeight);
+  double minRunMs = aDeclaredMs * std::exp(-kResubmittedSigmas * declaredSigma);
+  double runMs = PredictRunMs(aTimeoutMs);
+  if (runMs < minRunMs) {
     declared.mElapsedMs = (aDeclaredMs - runMs) / Slope();
     return declared;
   }
-  double sigma = std::max(kLeastSigma, std::sqrt(mLineErrors / mJudged));
-  double longest = aDeclaredMs * std::exp(kLongestSigmas * declaredSigma);
-  return { std::clamp(runMs, kMinRunMs, std::max(kMinRunMs, longest)),
+  double sigma =
+    std::max(kMinSigma, std::sqrt(mRegressionErrors / mErrorWeight));
+  double maxRunMs = aDeclaredMs * std::exp(kMaxRunSigmas * declaredSigma);
+  return { std::clamp(runMs, kMinRunMs, std::max(kMinRunMs, maxRunMs)),
            sigma,
            0 };
 }
@@ -156,78 +159,80 @@
 std::vector<double>
 timeout_regression::Sums() const
 {
-  return { mWeight,     mWaits,  mRuns,       mWaitSquares,   mProducts,
-           mRunSquares, mJudged, mLineErrors, mDeclaredErrors };
+  return { mWeight,         mTimeoutSum,       mRunSum,
+           mTimeoutSquares, mProducts,         mRunSquares,
+           mErrorWeight,    mRegressionErrors, mDeclaredErrors };
 }
 
 result<timeout_regression>
 timeout_regression::FromSums(const std::vector<double>& aSums)
 {
-  bool sound = aSums.size() == kSums &&
+  bool valid = aSums.size() == kSumCount &&
                std::all_of(aSums.begin(), aSums.end(), [](double aSum) {
                  return std::isfinite(aSum) && aSum >= 0;
                });
-  if (!sound) {
+  if (!valid) {
     return failure(error_code::BadRequest,
                    "decode",
                    "store",
                    "invalid sums of a regression");
   }
-  timeout_regression made;
-  made.mWeight = aSums[0];
-  made.mWaits = aSums[1];
-  made.mRuns = aSums[2];
-  made.mWaitSquares = aSums[3];
-  made.mProducts = aSums[4];
-  made.mRunSquares = aSums[5];
-  made.mJudged = aSums[6];
-  made.mLineErrors = aSums[7];
-  made.mDeclaredErrors = aSums[8];
-  return made;
+  timeout_regression regression;
+  regression.mWeight = aSums[0];
+  regression.mTimeoutSum = aSums[1];
+  regression.mRunSum = aSums[2];
+  regression.mTimeoutSquares = aSums[3];
+  regression.mProducts = aSums[4];
+  regression.mRunSquares = aSums[5];
+  regression.mErrorWeight = aSums[6];
+  regression.mRegressionErrors = aSums[7];
+  regression.mDeclaredErrors = aSums[8];
+  return regression;
 }
 
 void
 timeout_model::Observe(const std::string& aRoute,
                        double aDeclaredMs,
-                       double aWaitMs,
+                       double aTimeoutMs,
                        double aRunMs)
 {
-  mLearned++;
-  mLines[aRoute].Observe(aDeclaredMs, aWaitMs, aRunMs);
+  mObservations++;
+  mRegressions[aRoute].Observe(aDeclaredMs, aTimeoutMs, aRunMs);
 }
 
 run_forecast
 timeout_model::Forecast(const std::string& aRoute,
                         double aDeclaredMs,
-                        double aWaitMs) const
+                        double aTimeoutMs) const
 {
-  auto found = mLines.find(aRoute);
-  return found == mLines.end() ? run_forecast{ aDeclaredMs, kDeclaredSigma, 0 }
-                               : found->second.Forecast(aDeclaredMs, aWaitMs);
+  auto found = mRegressions.find(aRoute);
+  return found == mRegressions.end()
+           ? run_forecast{ aDeclaredMs, kDeclaredSigma, 0 }
+           : found->second.Forecast(aDeclaredMs, aTimeoutMs);
 }
 
 void
 timeout_model::KeepOnly(const std::set<std::string>& aRoutes)
 {
-  for (auto at = mLines.begin(); at != mLines.end();) {
-    at = aRoutes.count(at->first) > 0 ? std::next(at) : mLines.erase(at);
+  for (auto at = mRegressions.begin(); at != mRegressions.end();) {
+    at = aRoutes.count(at->first) > 0 ? std::next(at) : mRegressions.erase(at);
   }
 }
 
 std::string
 timeout_model::Encode() const
 {
-  std::vector<std::pair<double, std::string_view>> names;
-  for (const auto& [name, line] : mLines) {
-    names.emplace_back(-line.Weight(), name);
+  std::vector<std::pair<double, std::string_view>> byWeight;
+  for (const auto& [name, regression] : mRegressions) {
+    byWeight.emplace_back(-regression.Weight(), name);
   }
-  std::sort(names.begin(), names.end());
-  names.resize(std::min(names.size(), kMaxStoredRegressions));
+  std::sort(byWeight.begin(), byWeight.end());
+  byWeight.resize(std::min(byWeight.size(), kMaxStoredRegressions));
   wire::wait_lines_msg record;
-  for (const auto& [weight, name] : names) {
+  for (const auto& [weight, name] : byWeight) {
     auto one = std::make_unique<wire::wait_line_msg>();
     one->route = name;
-    one->sums = mLines.at(one->route).Sums();
+    one->sums = mRegressions.at(one->route).Sums();
     record.lines.push_back(std::move(one));
   }
   std::string bytes;
@@ -247,17 +252,18 @@
                     "store",
                     "message does not hold a timeout model");
     }
-    std::map<std::string, timeout_regression> read;
+    std::map<std::string, timeout_regression> decodedRegressions;
     for (const auto& one : record->lines) {
-      read[one->route] = timeout_regression::FromSums(one->sums).Value();
+      decodedRegressions[one->route] =
+        timeout_regression::FromSums(one->sums).Value();
     }
-    for (const auto& [name, line] : read) {
-      timeout_regression& own = mLines[name];
-      if (own.Weight() < line.Weight()) {
-        own = line;
+    for (const auto& [name, regression] : decodedRegressions) {
+      timeout_regression& own = mRegressions[name];
+      if (own.Weight() < regression.Weight()) {
+        own = regression;
       }
     }
-    return !read.empty();
+    return !decodedRegressions.empty();
   });
 }
 
--- a/cactusmast/timeout_model.h
+++ b/cactusmast/timeout_model.h
@@ -50,9 +50,9 @@
 {
 public:
   // A task that ended. Jobs that look resubmitted are not fitted.
-  void Observe(double aDeclaredMs, double aWaitMs, double aRunMs);
-  // aWaitMs: 0 if the caller has not given a timeout.
-  run_forecast Forecast(double aDeclaredMs, double aWaitMs) const;
+  void Observe(double aDeclaredMs, double aTimeoutMs, double aRunMs);
+  // aTimeoutMs: 0 if the caller has not given a timeout.
+  run_forecast Forecast(double aDeclaredMs, double aTimeoutMs) const;
   // Sum of the weights of all observations; bounded because they decay.
   double Weight() const { return mWeight; }
 
@@ -65,26 +65,27 @@
   // Whether there are enough observations, and timeouts explain run times.
   bool IsFitted() const;
   // Whether it predicts better than declared run times do.
-  bool IsBetter() const;
+  bool BeatsDeclared() const;
   double Slope() const;
-  double RunAt(double aWaitMs) const;
+  double PredictRunMs(double aTimeoutMs) const;
   // Decays all sums before an observation is added.
-  void Fade();
+  void Decay();
 
   // Decayed sums over the fitted observations; times in ms.
   double mWeight = 0;
-  double mWaits = 0;
-  double mRuns = 0;
-  double mWaitSquares = 0;
+  double mTimeoutSum = 0;
+  double mRunSum = 0;
+  double mTimeoutSquares = 0;
   double mProducts = 0;
   double mRunSquares = 0;
   // Decayed weight of the observations that were compared with both
   // predictions, and sums of the squared logarithms of run time over either
   // prediction.
-  double mJudged = 0;
-  double mLineErrors = 0;
+  double mErrorWeight = 0;
+  double mRegressionErrors = 0;
   double mDeclaredErrors = 0;
-  double mReturnedShare = 0; // share of the latest jobs that look resubmitted
+  // Decayed share of the jobs that look resubmitted.
+  double mResubmittedShare = 0;
 };
 
 // A row of the store holds 64 KB, a regression takes about 100 bytes.
@@ -97,11 +98,11 @@
   // Updates the regression of aRoute only.
   void Observe(const std::string& aRoute,
                double aDeclaredMs,
-               double aWaitMs,
+               double aTimeoutMs,
                double aRunMs);
   run_forecast Forecast(const std::string& aRoute,
                         double aDeclaredMs,
-                        double aWaitMs) const;
+                        double aTimeoutMs) const;
 
   // Removes the regressions of all other routes. Otherwise they would
   // accumulate, because routes come and go for years.
@@ -114,11 +115,11 @@
   // BadRequest for invalid sums, Protocol for other undecodable bytes.
   result<bool> Merge(const std::string& aBytes);
   // The number of calls of Observe.
-  uint64_t Observations() const { return mLearned; }
+  uint64_t Observations() const { return mObservations; }
 
 private:
-  std::map<std::string, timeout_regression> mLines;
-  uint64_t mLearned = 0;
+  std::map<std::string, timeout_regression> mRegressions;
+  uint64_t mObservations = 0;
 };
 
 } // namespace cactusmast
