--- a/cactusmast/job_coordinator.cc
+++ b/cactusmast/job_coordinator.cc
@@ -52,7 +52,8 @@
 {
   auto open = mJobs.find(aRequest.mJob);
   if (open != mJobs.end()) {
-    // The same job twice at a time is one job with two callers.
+    // A job that is submitted again while it is open is one job with two
+    // callers.
     open->second.mCallers.push_back(aRequest.mCaller);
     mCallerJobs[aRequest.mCaller] = aRequest.mJob;
     return;
@@ -60,8 +61,8 @@
   if (RefuseUnsatisfiable(aRequest) || RefuseEvacuated(aRequest)) {
     return;
   }
-  // Room that has come since all was last tried belongs to what is most urgent
-  // of all, not to whoever comes next.
+  // Capacity that became free since all waiting tasks were last tried goes to
+  // the most urgent of them, not to the next new job.
   bool behind = mCapacityChanged && !mWaiting.empty();
   const job& made = Admit(aRequest, aNow);
   if (!behind) {
@@ -105,9 +106,9 @@
   made.mTable = std::move(aRequest.mTable);
   made.mRoute = aRequest.mRoute;
   made.mAcceptedAt = aNow;
-  // A caller that says how long it waits is served that long, also beyond its
-  // route's timeout. Otherwise tasks that run longer than the timeout would be
-  // ended while their callers wait and their objective is not over.
+  // A timeout given by the caller holds even if it exceeds the route's timeout.
+  // Otherwise tasks that run longer than the route's timeout would be stopped
+  // while their callers still wait and their objective has not passed.
   uint32_t waitMs =
     aRequest.mCallerTimeoutMs > 0 ? aRequest.mCallerTimeoutMs : way.mTimeoutMs;
   made.mDeadline = aNow + milliseconds(waitMs) - kAnswerMargin;
@@ -156,7 +157,8 @@
     aJob.mFirstSentAt +
     kUsefulObjectives * (aJob.mObjectiveAt - aJob.mFirstSentAt);
   if (forecast.mElapsedMs > 0) {
-    // Its caller still waits, and may have what is left of the room.
+    // The caller of a resubmitted job still waits, so the job may use capacity
+    // that is left.
     aJob.mUsefulUntil = aJob.mDeadline;
   }
 }
@@ -187,7 +189,7 @@
   mCounters.mGivenUp++;
   mEvents.Emit(event_code::JobCancelled,
                { { "job", FormatJobId(id) },
-                 { "reason", "its caller is gone" },
+                 { "reason", "its caller disconnected" },
                  { "left", std::to_string(left.mLeft) } });
   StopTasks(left);
   mDeadlines.erase({ left.mDeadline, id });
@@ -204,7 +206,7 @@
   return true;
 }
 
-// Stops and forgets all tasks of a job that nobody waits for any more.
+// Stops the placed tasks of a job and removes all its tasks from the queues.
 void
 job_coordinator::StopTasks(job& aJob)
 {
@@ -351,7 +353,7 @@
 {
   while (!mDeadlines.empty() && mDeadlines.begin()->first <= aNow) {
     uint64_t id = mDeadlines.begin()->second;
-    Finish(id, ExpiryOf(mJobs.at(id), "its time ran out"), aNow);
+    Finish(id, ExpiryOf(mJobs.at(id), "its deadline has passed"), aNow);
   }
 }
 
--- a/cactusmast/job_coordinator.h
+++ b/cactusmast/job_coordinator.h
@@ -1,23 +1,24 @@
-// The decisions of an entry for jobs whose caller waits for the answer.
+// Accepts, places and answers the jobs of one entry whose callers wait for the
+// answer.
 //
 // Each entry places the tasks of its own jobs on a subset of the executors of
-// their service (executor_subset); the executors alone know what room there is.
-// Nothing is stored: if this entry goes, its executors stop the tasks, and the
-// caller sends the job again.
+// their service (executor_subset); only the executors know the exact free
+// capacity. Nothing is stored: if this entry is lost, its executors stop the
+// tasks and the caller resubmits the job.
 //
-// Between an entry and an executor something is heard all the time only while
-// tasks are open there. Otherwise the connection is quiet, and whether the
-// other machine lives is left to the transport and to the first order.
+// An entry and an executor exchange messages all the time only while tasks of
+// the entry are open there. Otherwise the connection is idle, and the loss of
+// the other machine is detected by the transport or at the first dispatch.
 //
 // Invariants:
 // - A task has at most one attempt that may be running. After the connection
 //   to an executor is lost, its tasks are placed again only once the executor
 //   and the backend server have certainly ended them (kMaxOrphanLifetime).
 // - A job is answered once: completed with all tasks done, failed, refused, or
-//   expired. Refused is said only if no attempt can have started.
-// - When the last caller of a job goes away its tasks are stopped.
-// - Nothing is placed in a data centre that is being evacuated, and each order
-//   says what this entry knows of evacuations.
+//   expired. It is refused only if no attempt can have started.
+// - When the last caller of a job disconnects, its tasks are stopped.
+// - No task is placed in a data centre that is being evacuated, and each
+//   dispatch carries what this entry knows of evacuations.
 
 #ifndef CACTUSMAST_JOB_COORDINATOR_H_
 #define CACTUSMAST_JOB_COORDINATOR_H_
@@ -41,34 +42,38 @@
 
 namespace cactusmast {
 
-// After a connection was lost, what was ordered over it runs at most until the
-// executor notices (kEntryTimeout) or, if that is what died, until the lease
-// at the backend server ends; then comes the stop, which takes up to 50 ms.
+// How long tasks may run on after the connection they were dispatched over is
+// lost: until the executor detects the loss (kEntryTimeout) or, if the executor
+// was lost, until the lease at the backend server expires, and then until they
+// are stopped, which takes up to 50 ms.
 constexpr duration kMaxOrphanLifetime = kEntryTimeout + milliseconds(100);
-// An executor with tasks of this entry reports every 150 ms, and one that is
-// asked for a report sends it at once. One that has not been heard for this
-// long although it should have been is taken to be gone.
+// An executor with tasks of this entry reports every 150 ms, and a new
+// subscription is answered by a report at once. An executor whose report is due
+// for longer than this is taken to be lost.
 constexpr duration kExecutorTimeout = milliseconds(550);
 
 enum class job_ending : uint8_t
 {
-  Completed, // every task ended well
-  Failed,    // a task failed as often as the route allows, or never can run
+  Completed, // every task succeeded
+  Failed,    // a task failed as often as the route allows or can never run, or
+             // the job was cancelled
   Refused,   // no task was started, and none will be
-  Expired,   // its time ran out after tasks may have been started
+  Expired,   // it did not complete in time; tasks may have been started
   Count
 };
 
+// The name used in logs; "invalid" for a value out of range.
 std::string_view
 Name(job_ending aEnding);
 
 struct job_outcome
 {
   job_ending mEnding = job_ending::Failed;
-  std::string mReason;
-  duration mRetryAfter{}; // zero: no advice
+  std::string mReason;    // empty if completed
+  duration mRetryAfter{}; // when the caller may resubmit; zero: not said
 };
 
+// Sends the answers of jobs to their callers.
 class job_answers
 {
 public:
@@ -76,14 +81,17 @@
   virtual void Answer(caller_id aCaller, const job_outcome& aOutcome) = 0;
 };
 
+// Sends messages to executors. Any call may close the connection, and then
+// calls job_coordinator::OnExecutorDown before it returns.
 class coordinator_links
 {
 public:
   virtual ~coordinator_links() = default;
   virtual void Start(peer_id aExecutor, wire::start_tasks_msg aOrder) = 0;
   virtual void Stop(peer_id aExecutor, wire::stop_tasks_msg aOrder) = 0;
+  // Begins or ends the subscription to the executor's reports.
   virtual void Subscribe(peer_id aExecutor, bool aWanted) = 0;
-  // Other data centres are being evacuated than the executor was told.
+  // Sends the current evacuations, which have changed.
   virtual void SendEvacuations(peer_id aExecutor) = 0;
   virtual void Close(peer_id aExecutor) = 0;
 };
@@ -91,11 +99,11 @@
 struct job_request
 {
   caller_id mCaller = 0;
-  uint64_t mJob = 0;
+  uint64_t mJob = 0; // identity of the job, the same when it is resubmitted
   job_submission mSubmission;
-  std::shared_ptr<const route_table> mTable; // keeps mRoute alive
+  std::shared_ptr<const route_table> mTable; // owns *mRoute
   const route* mRoute = nullptr;
-  // How long the caller waits; 0: it does not say, so the route's timeout.
+  // How long the caller waits; 0: not given, the route's timeout applies.
   uint32_t mCallerTimeoutMs = 0;
 };
 
@@ -106,19 +114,19 @@
   uint64_t mFailed = 0;
   uint64_t mRefused = 0;
   uint64_t mExpired = 0;
-  uint64_t mGivenUp = 0;    // by their callers
+  uint64_t mGivenUp = 0;    // jobs all of whose callers disconnected
   uint64_t mDispatches = 0; // messages to executors
-  uint64_t mAttempts = 0;
-  uint64_t mBounced = 0; // attempts that an executor did not start
-  uint64_t mLost = 0;
+  uint64_t mAttempts = 0;   // tasks in them
+  uint64_t mBounced = 0;    // attempts that an executor did not start
+  uint64_t mLost = 0;       // attempts orphaned by the loss of an executor
   latency_histogram mCompletedIn; // from acceptance to the answer
-  latency_histogram mOtherwiseIn; // the same, for all other endings
+  latency_histogram mOtherwiseIn; // the same for all other endings
 };
 
 class job_coordinator
 {
 public:
-  // aName: of the entry, as in its settings.
+  // aName: the entry's name from its settings.
   job_coordinator(std::string aName,
                   std::string aDataCenter,
                   coordinator_links& aLinks,
@@ -127,14 +135,14 @@
                   event_sink& aEvents,
                   const mechanism_set& aMechanisms = {});
 
-  // Answers at once or later, once.
+  // Answers the caller once, during the call or later.
   void Submit(job_request aRequest, instant aNow);
   void OnCallerDisconnected(caller_id aCaller);
-  // False when no such job is open here.
+  // Answers the job as failed. False if no such job is open here.
   bool Cancel(uint64_t aJob, instant aNow);
-  // Answers all open jobs, refused or expired as each is, and withdraws their
-  // tasks. For a process that ends while jobs are open: a connection that just
-  // closes leaves the caller to guess whether its job runs.
+  // Answers all open jobs as refused or expired and stops their tasks. For a
+  // process that exits while jobs are open: if the connection just closed, the
+  // caller would not know whether its job still runs.
   void EndAll(const std::string& aReason, instant aNow);
 
   void OnExecutorUp(peer_id aPeer, const peer_identity& aWho, instant aNow);
@@ -142,21 +150,22 @@
   void OnReport(peer_id aPeer,
                 const wire::server_report_msg& aSaid,
                 instant aNow);
-  // What the store or another entry says.
+  // aSaid: from the store or another process; empty: nothing is known.
   void OnEvacuations(const std::optional<evacuation_update>& aSaid,
                      instant aNow);
+  // To be called in each turn of the loop.
   void Tick(instant aNow);
 
   const evacuation_tracker& Evacuations() const { return mEvacuations; }
   size_t OpenJobs() const { return mJobs.size(); }
   size_t WaitingTasks() const { return mWaiting.size(); }
-  // Jobs of aRoute of which no task was started.
+  // The number of open jobs of aRoute of which no task was dispatched.
   uint32_t UnstartedJobs(const std::string& aRoute) const;
-  // Executors that can be reached and whose backend server is ready.
+  // The number of connected executors whose backend server is ready.
   size_t ReadyServers() const;
-  // Executors that tasks are placed on.
+  // The number of those that tasks are placed on.
   size_t PlaceableServers() const;
-  // Those with open tasks, which must hear from this entry all the time.
+  // Executors with open tasks, which have to get heartbeats.
   const std::set<peer_id>& BusyExecutors() const { return mBusy; }
   const coordinator_counters& Counters() const { return mCounters; }
   timeout_model& TimeoutModel() { return mTimeoutModel; }
@@ -165,21 +174,21 @@
   enum class task_state : uint8_t
   {
     Waiting,
-    Reserved, // a place is found; the order goes out in this same turn
-    Placed,
-    Orphaned, // may still run until a time that is known
+    Reserved, // has capacity; dispatched in the same turn of the loop
+    Placed,   // dispatched to its executor
+    Orphaned, // its executor is lost; may run until mOrphanedUntil
     Done
   };
 
   struct task
   {
     task_state mState = task_state::Waiting;
-    peer_id mExecutor = 0;
-    uint32_t mAttempt = 0;
+    peer_id mExecutor = 0; // 0: neither reserved nor placed
+    uint32_t mAttempt = 0; // number of the latest attempt; 0: none yet
     uint32_t mFailures = 0;
-    // Estimate by its own progress; 0: none yet.
+    // Run time on a backend server of ordinary speed; 0: no estimate yet.
     uint32_t mProgressEstimateMs = 0;
-    peer_id mAvoid = 0;
+    peer_id mAvoid = 0; // where an attempt ended without success; 0: none
     instant mOrphanedUntil{};
   };
 
@@ -191,41 +200,47 @@
     std::shared_ptr<const route_table> mTable;
     const route* mRoute = nullptr;
     instant mAcceptedAt{};
-    instant mFirstSentAt{};      // first, as far as can be known
-    double mCallerTimeoutMs = 0; // of the caller; 0: it does not say
+    // When its caller first sent it, as far as can be estimated; earlier than
+    // mAcceptedAt if it was resubmitted.
+    instant mFirstSentAt{};
+    double mCallerTimeoutMs = 0; // 0: not given
     double mRunTimeFactor = 1;   // forecast run time over the declared one
-    double mRunSigma = kDeclaredSigma;
+    double mRunSigma = kDeclaredSigma; // run_forecast::mSigma
     instant mObjectiveAt{};
-    instant mDeadline{};
-    instant mUsefulUntil{};                // estimated
+    instant mDeadline{}; // when the caller stops waiting, less kAnswerMargin
+    // An answer after this is estimated to be worth nothing to the caller.
+    instant mUsefulUntil{};
     std::vector<std::vector<task>> mTasks; // by step and index
-    uint32_t mLeft = 0;
-    bool mAnyStarted = false; // an attempt ended that was started
+    uint32_t mLeft = 0;                    // tasks that are not done
+    // An attempt was started, or was lost so that this is unknown.
+    bool mAnyStarted = false;
   };
 
   struct executor
   {
     size_t mView = 0;                   // index in mViews
-    executor_subset* mSubset = nullptr; // of its service, once that is known
+    executor_subset* mSubset = nullptr; // null until its service is known
     instant mLastHeard{};
-    instant mReportDueSince{}; // zero: nothing need be heard
+    instant mReportDueSince{}; // zero: no report is due
     uint64_t mLastDispatchNumber = 0;
-    // What was ordered and not yet accounted for by a report.
+    // Resources of the dispatches that no report accounts for yet, by number.
     std::map<uint64_t, resources> mUnreported;
-    std::set<task_key> mTasks;
-    resources mReportedFree;
+    std::set<task_key> mTasks; // open tasks
+    resources mReportedFree;   // free capacity by the latest report
   };
 
-  // Most urgent first: the latest start that still meets the objective, then
-  // the priority.
+  // Orders tasks by urgency: the latest start that meets the objective, then
+  // the priority of the route.
   using waiting_key = std::tuple<instant, uint32_t, task_key>;
 
-  // True when it was answered: no backend server can ever hold it.
+  // True if it answered the request because no backend server can ever run one
+  // of its tasks.
   bool RefuseUnsatisfiable(const job_request& aRequest);
-  // True when it was answered: all backend servers are being evacuated.
+  // True if it answered the request because all backend servers of its service
+  // are being evacuated.
   bool RefuseEvacuated(const job_request& aRequest);
   const job& Admit(job_request& aRequest, instant aNow);
-  // What the caller's wait says of its job.
+  // Sets the members of aJob that depend on the forecast by its caller timeout.
   void ApplyForecast(job& aJob, uint32_t aDeclaredMs, instant aNow);
   static double ExpectedMs(const job& aJob, const job_step& aStep);
   void ObserveRunTime(const job& aJob,
@@ -236,29 +251,32 @@
   waiting_key WaitingKey(const job& aJob, const task_key& aKey) const;
   task& TaskOf(job& aJob, const task_key& aKey);
   bool IsPlacingDue(instant aNow) const;
-  // Places what can be placed, gathering the tasks of one job for one
-  // executor into one order.
+  // Places all waiting tasks that can be placed. The tasks of one step for one
+  // executor are sent in one dispatch.
   void PlaceWaiting(instant aNow);
-  // The same for a job that has just come. What waits already found no place
-  // when it was last tried, so it is not tried again for each new job.
+  // The same for the tasks of a new job only. The tasks that wait were not
+  // placed when they were last tried, so they are not tried again for each new
+  // job.
   void PlaceNew(const job& aJob, instant aNow);
   void PlaceKeys(const std::vector<task_key>& aOrder, instant aNow);
-  // Returns what has no place now.
+  // Returns all tasks that are unplaced after it.
   std::vector<task_key> UnplacePartialJobs(
     const std::vector<task_key>& aUnplaced);
-  // Gives the places back that were chosen for aJob in this turn.
+  // Undoes the reservations of aJob and adds its tasks to aUnplaced.
   void Unplace(job& aJob, std::vector<task_key>* aUnplaced);
-  // Whether the room that it leaves empty meanwhile is small.
+  // Whether the capacity that stays idle while aJob waits until all its tasks
+  // fit is small.
   static bool MayWaitForAll(const job& aJob, const service_capacity& aRoom);
-  // aRooms: by service, filled in as asked.
+  // aRooms: capacities computed so far, by service.
   const service_capacity& CapacityFor(
     const job& aJob,
     std::map<std::string_view, service_capacity>* aRooms) const;
-  // While room is short, refuses jobs that would be late and leaves those that
-  // can still be in time waiting; returns the others.
+  // While free capacity is scarce, refuses jobs that would be late and leaves
+  // those that can still meet their objective waiting. Returns the tasks of all
+  // other jobs.
   std::vector<task_key> ShedLate(const std::vector<task_key>& aLate,
                                  instant aNow);
-  // Returns what found no place, in the same order.
+  // Returns the tasks that were not placed, in the same order.
   std::vector<task_key> PlaceAll(const std::vector<task_key>& aOrder,
                                  placement_aim aAim,
                                  instant aNow);
@@ -267,19 +285,22 @@
                              placement_request aRequest);
   void SendDispatches(instant aNow);
   void RefreshFree(executor& aAt);
-  // After a report: whether more is awaited, and who is in the subset now.
+  // After a report: updates whether another one is due, and the subset.
   void NoteHeard(peer_id aPeer, instant aNow);
-  // After a change of mEvacuations.
+  // Called after a change of mEvacuations.
   void ApplyEvacuations(instant aNow);
-  // Jobs that nothing was started of and that nothing can run for now.
+  // Refuses the undispatched jobs all of whose backend servers are being
+  // evacuated.
   void RefuseEvacuatedJobs(instant aNow);
-  // Its backend server may be given tasks.
+  // Whether the backend server is ready and its data centre is not being
+  // evacuated.
   bool IsUsable(const server_view& aView) const;
-  // Subscribes to new members of a subset, and no longer to former ones.
+  // Subscribes to the reports of new members of a subset and ends the
+  // subscriptions to former ones.
   void ApplyChange(const executor_subset::change& aChange, instant aNow);
-  // By the service that aAt's backend server belongs to.
+  // Moves the executor into the subset of aService.
   void AssignSubset(executor& aAt, const std::string& aService);
-  // After a placing that left aUnplaced without a place.
+  // Called after placement. aUnplaced: the tasks that were not placed.
   void ResizeSubsets(const std::vector<task_key>& aUnplaced, instant aNow);
   void AddOpenTask(peer_id aPeer, const task_key& aKey, instant aNow);
   void RemoveOpenTask(peer_id aPeer, const task_key& aKey);
@@ -296,9 +317,11 @@
   void StopTasks(job& aJob);
   void MarkOrphaned(const task_key& aKey, instant aUntil);
   void RequeueOrphan(const task_key& aKey);
-  // Whether a task of the job was ordered, ever.
+  // Whether any task of the job was ever dispatched.
   static bool IsDispatched(const job& aJob);
+  // The same, but counts reserved tasks as well.
   bool MayHaveRun(const job& aJob) const;
+  // Refused if the job cannot have started, otherwise expired.
   job_outcome ExpiryOf(const job& aJob, const std::string& aReason) const;
   void ExpireJobs(instant aNow);
   void ExpireOrphans(instant aNow);
@@ -316,19 +339,20 @@
   std::unordered_map<uint64_t, job> mJobs;
   std::unordered_map<caller_id, uint64_t> mCallerJobs;
   std::set<waiting_key> mWaiting;
-  std::set<std::pair<instant, task_key>> mOrphans;
-  std::set<std::pair<instant, uint64_t>> mDeadlines;
-  std::map<peer_id, executor> mExecutors;
+  std::set<std::pair<instant, task_key>> mOrphans;   // by mOrphanedUntil
+  std::set<std::pair<instant, uint64_t>> mDeadlines; // of all open jobs
+  std::map<peer_id, executor> mExecutors;            // the connected ones
   std::set<peer_id> mBusy; // executors whose mTasks is not empty
   std::vector<server_view> mViews;
   std::map<std::string, executor_subset> mSubsets; // by service
   evacuation_tracker mEvacuations;
-  slowness_range mSlowness; // of mViews, as of the last placing
+  slowness_range mSlowness; // of mViews, as of the latest placement
   instant mNextSilenceCheck{};
+  // Reports or waiting tasks have come since all waiting tasks were last tried.
   bool mCapacityChanged = false;
-  instant mPlacedAt{};            // when all that waits was last tried
-  std::set<uint64_t> mInfeasible; // jobs to end after this turn's placement
-  // Orders of this turn by executor, job, step and estimate.
+  instant mPlacedAt{};            // when all waiting tasks were last tried
+  std::set<uint64_t> mInfeasible; // jobs to end after the current placement
+  // Indexes of reserved tasks by executor, job, step and estimate in ms.
   std::map<std::tuple<peer_id, uint64_t, uint32_t, uint32_t>,
            std::vector<uint32_t>>
     mPendingDispatches;
--- a/cactusmast/job_coordinator_evacuation.cc
+++ b/cactusmast/job_coordinator_evacuation.cc
@@ -1,4 +1,4 @@
-// What an entry does while data centres are being evacuated.
+// The part of job_coordinator that handles evacuations of data centres.
 
 #include "cactusmast/job_coordinator.h"
 
@@ -13,7 +13,8 @@
 
 constexpr char kAllEvacuated[] = "all its backend servers are being evacuated";
 
-// False while backend servers may be there that have not reported yet.
+// Whether all backend servers of aService are being evacuated. False while
+// there are backend servers whose service is not known yet.
 bool
 IsAllEvacuated(const std::vector<server_view>& aViews,
                const evacuation_tracker& aEvacuations,
@@ -65,7 +66,7 @@
       at.mSubset->SetUsable(peer, IsUsable(mViews[at.mView]));
     }
   }
-  // Sending may close a connection, and its executor is gone then.
+  // Sending may close a connection, which removes its executor.
   for (peer_id peer : peers) {
     if (mExecutors.count(peer) > 0) {
       mLinks.SendEvacuations(peer);
--- a/cactusmast/job_coordinator_executors.cc
+++ b/cactusmast/job_coordinator_executors.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The task that a row of a report is about.
+// The task that aRow of a report refers to.
 template<typename Row>
 task_key
 KeyOf(const Row& aRow)
@@ -28,8 +28,8 @@
                               const peer_identity& aWho,
                               instant aNow)
 {
-  // An executor that connects again has given up its earlier connection, also
-  // if this side has not noticed yet.
+  // An executor that connects again has closed its former connection, even if
+  // this side has not detected that yet.
   for (const server_view& view : mViews) {
     if (view.mName == aWho.mName) {
       peer_id former = view.mPeer;
@@ -88,7 +88,7 @@
   if (found == mJobs.end()) {
     return;
   }
-  // Nobody can say any more whether it was started.
+  // It is no longer possible to know whether it was started.
   found->second.mAnyStarted = true;
   task& one = TaskOf(found->second, aKey);
   one.mState = task_state::Orphaned;
@@ -162,8 +162,8 @@
 void
 job_coordinator::NoteHeard(peer_id aPeer, instant aNow)
 {
-  // The jobs that ended with the report may have closed the connection: an
-  // order to stop can be more than it takes.
+  // Jobs that ended with the report may have closed the connection, because a
+  // stop for their other tasks can overflow its send queue.
   auto found = mExecutors.find(aPeer);
   if (found == mExecutors.end()) {
     return;
@@ -179,8 +179,8 @@
   ApplyChange(change, aNow);
 }
 
-// Null unless the task is placed at aPeer under this attempt: reports may be
-// about jobs that have ended and attempts that were given up.
+// Null unless the task is placed at aPeer with this attempt. Reports may refer
+// to jobs that have ended and to earlier attempts.
 job_coordinator::task*
 job_coordinator::CurrentAttempt(peer_id aPeer,
                                 const task_key& aKey,
@@ -199,9 +199,9 @@
   return current ? &one : nullptr;
 }
 
-// The task's own progress is a far better estimate than the declared one. If a
-// faster backend server can end it in time after a new start, it is withdrawn
-// here; once its end is reported it is placed anew.
+// A progress estimate is far better than the declared run time. If a faster
+// backend server can end the task in time even though it starts again, the task
+// is stopped here; it is placed again once its end is reported.
 void
 job_coordinator::OnTooSlow(peer_id aPeer,
                            const wire::task_forecast& aForecast,
--- a/cactusmast/job_coordinator_limits.h
+++ b/cactusmast/job_coordinator_limits.h
@@ -1,4 +1,4 @@
-// Limits of a job coordinator.
+// Limits and margins of a job_coordinator.
 
 #ifndef CACTUSMAST_JOB_COORDINATOR_LIMITS_H_
 #define CACTUSMAST_JOB_COORDINATOR_LIMITS_H_
@@ -10,46 +10,51 @@
 
 using std::chrono::milliseconds;
 
-// An order that would not start by then comes back, so that the task can go
-// where there is room by now. Somewhat over the longest wait that is planned.
+// An executor returns a task that it cannot start within this time, so that the
+// task can be placed where there is free capacity by then. Slightly more than
+// the longest wait at a backend server that placement allows.
 constexpr uint32_t kStartWithinMs = 40;
-// The answer must be back before the caller stops waiting.
+// A job is ended this long before its caller stops waiting, so that the answer
+// arrives in time.
 constexpr duration kAnswerMargin = milliseconds(12);
-// A caller that was refused for want of room is asked to come back after about
-// the length of the longest tasks in the queue.
+// When a caller that was refused for lack of capacity may retry: about the run
+// time of the longest waiting tasks.
 constexpr duration kRetryAfter = milliseconds(1000);
 
-// Operators evacuate a data centre for minutes. Until they take it back nobody
-// can say when that will be.
+// When a caller that was refused because of evacuations may retry. Evacuations
+// last for minutes, and their end is not known in advance.
 constexpr duration kRetryAfterEvacuation = milliseconds(5000);
 
-// An answer is worth nothing to its caller after this many times the
-// objective: no task is started that could only end later.
+// An answer is worth nothing to its caller after this many times the objective.
+// No task is started that can only end later.
 constexpr int kUsefulObjectives = 3;
-// Run times are forecast within these, in ms, whatever callers say.
+// Bounds of forecast run times.
 constexpr double kMinRunMs = 1;
 constexpr double kMaxRunMs = 24 * 3600 * 1000.0;
-// A task that runs too slowly is started anew elsewhere if it would miss its
-// deadline there with less than this chance.
+// A task that runs too slowly is restarted elsewhere if its risk of missing its
+// deadline there is less than this.
 constexpr double kMaxMoveRisk = 0.4;
-// Progress is known to about a tenth.
+// A task certainly misses its deadline if its progress estimate exceeds the
+// time left by more than this factor. Progress is known to about a tenth.
 constexpr double kCertainMissFactor = 1.2;
-// With less than this share of all room free, a job that can only be late any
-// more and of which nothing was started is refused: it would take the room that
-// the next ones need to be in time, so that in the end all are late.
+// With less than this share of the capacity free, a job that can only be late
+// and of which no task was dispatched is refused. It would take the capacity
+// that the next jobs need to meet their objectives, so that in the end all
+// would be late.
 constexpr double kScarceFreeShare = 0.1;
-// A job waits for room for all its tasks only if less than this share of all
-// room is empty for that: of little room, single places are worth more.
+// A job waits until all its tasks fit only if that leaves less than this share
+// of the capacity idle. Where the capacity is small, partial starts are better.
 constexpr double kMaxIdleShare = 0.04;
-// Steps that find no place are tried this many at a time: each costs a look at
-// all backend servers, and what is tried first is most urgent.
+// Placement stops after this many unplaced steps. Each of them checks all
+// backend servers, and the most urgent ones are tried first.
 constexpr uint32_t kMaxUnplacedSteps = 12;
-// Between looks for executors that have fallen silent, which go through all of
-// them: a small entry takes hundreds of turns a second.
+// Interval of the check for executors that have timed out. The check visits all
+// executors, and the loop of a small entry makes hundreds of turns a second.
 constexpr duration kSilenceCheckInterval = milliseconds(25);
-// What waits is tried anew this often at most. Executors report thousands of
-// times a second in all; placing after each report would take a small entry all
-// its time once a hundred tasks wait, and make every answer late.
+// Minimum interval between placements of all waiting tasks. All executors
+// together send thousands of reports a second; placing after each of them would
+// use all the time of a small entry once a hundred tasks wait, and make every
+// answer late.
 constexpr duration kPlaceInterval = milliseconds(5);
 
 } // namespace detail
--- a/cactusmast/job_coordinator_placement.cc
+++ b/cactusmast/job_coordinator_placement.cc
@@ -62,9 +62,9 @@
     view.mAgeMs = MsBetween(view.mReportedAt, aNow);
   }
   mSlowness = SlownessOf(mViews);
-  // Tasks that would meet their objective come first; the others are served
-  // from what is left. Otherwise, once work backs up, each answer would be
-  // late.
+  // Tasks that can meet their objective are placed first, the others on the
+  // capacity that is left. Otherwise every answer would be late once a backlog
+  // has built up.
   bool timelyFirst = mMechanisms.Has(mechanism::TimelyFirst);
   std::vector<task_key> late =
     timelyFirst ? PlaceAll(aOrder, placement_aim::InObjective, aNow) : aOrder;
@@ -76,15 +76,19 @@
   std::set<uint64_t> hopeless = std::move(mInfeasible);
   mInfeasible.clear();
   for (uint64_t id : hopeless) {
-    auto found = mJobs.find(id); // it may have been shed in this same turn
+    auto found = mJobs.find(id); // it may have been refused by ShedLate
     if (found != mJobs.end()) {
-      Finish(id, ExpiryOf(found->second, "cannot end in its time"), aNow);
+      Finish(id,
+             ExpiryOf(found->second,
+                      "no backend server can end it before its deadline"),
+             aNow);
     }
   }
 }
 
-// While room is scarce, a job of which only a part can start now would hold its
-// room and be late all the same. Its tasks are given back to those behind it.
+// While free capacity is scarce, a job of which only some tasks can start now
+// would occupy capacity and still be late. Its reservations are undone, so that
+// later tasks can use the capacity.
 std::vector<task_key>
 job_coordinator::UnplacePartialJobs(const std::vector<task_key>& aUnplaced)
 {
@@ -102,8 +106,8 @@
   return unplaced;
 }
 
-// Until a job finds room for all its tasks, half of what they need is empty on
-// the average.
+// On average, half of the capacity that a job needs for its other tasks is idle
+// until all of them fit.
 bool
 job_coordinator::MayWaitForAll(const job& aJob, const service_capacity& aRoom)
 {
@@ -172,9 +176,10 @@
       kept.push_back(key);
       continue;
     }
-    // It may be late only because the backend servers that it would be in time
-    // on have no room at this moment. Until it is late anywhere it waits for
-    // them: on others it would take the room of one that can be in time.
+    // The job may be late only because the backend servers that can meet its
+    // objective have no free capacity at present. It waits for them until it
+    // would be late anywhere: on other backend servers it would take the
+    // capacity of a job that can meet its objective there.
     bool late = std::get<0>(WaitingKey(owner, key)) <= aNow;
     if (late) {
       shed.insert(key.mJob);
@@ -195,8 +200,8 @@
                           placement_aim aAim,
                           instant aNow)
 {
-  // Tasks of one step are alike, so where one found no place the others do
-  // not either.
+  // The tasks of one step are alike: if one cannot be placed, the others cannot
+  // either.
   std::pair<uint64_t, uint32_t> stuck{ 0, UINT32_MAX };
   std::vector<task_key> left;
   uint32_t stuckSteps = 0;
@@ -211,8 +216,9 @@
     job& owner = mJobs.at(key.mJob);
     placement_request request = RequestFor(owner, key, aNow);
     request.mAim = aAim;
-    // What is late already stands first in the order. If it counted as tried,
-    // those behind it that can still be in time would not be.
+    // Tasks that are late already are first in the order. They do not count as
+    // unplaced steps; otherwise later tasks that can still meet their objective
+    // would not be tried.
     bool late = aAim == placement_aim::InObjective &&
                 !CanMeetObjective(request, mSlowness.mMin);
     if (late) {
--- a/cactusmast/testing/sized_job_test.cc
+++ b/cactusmast/testing/sized_job_test.cc
@@ -1,5 +1,5 @@
-// Failures of entries, executors, backend servers and the network while jobs
-// of sized tasks run, and random schedules of all of them.
+// Tests jobs of sized tasks under failures of entries, executors, backend
+// servers and the network, one by one and at random.
 
 #include <doctest/doctest.h>
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("a calm second: every job is completed within its objective")
+TEST_CASE("without faults every job completes within its objective")
 {
   sized_world world(2, 4, 1);
   for (int i = 0; i < 100; i++) {
@@ -32,12 +32,11 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("a caller that waits longer than its route's timeout is answered")
+TEST_CASE("a caller timeout holds if it is longer than the route's timeout")
 {
-  // A route has a timeout of 1.5 s and some of its tasks run for two. Their
-  // callers say that they wait for eight. If the timeout ended these jobs, a
-  // guest's tray would never get its route plan, although the backend server
-  // was half a second from the end.
+  // The route's timeout is 1.5 s, a task runs for 2 s, and its caller has a
+  // timeout of 8 s. Guards against ending the job by the route's timeout while
+  // its caller waits and the backend server is half a second from the end.
   sized_world world(1, 2, 30);
   world.SetRouteTimeout(1500);
   uint64_t job = world.Submit(0, 4, 2000, 8000);
@@ -47,11 +46,10 @@
 }
 
 TEST_CASE(
-  "an entry that ends with jobs open answers them and stops their tasks")
+  "an entry that exits with open jobs answers them and stops their tasks")
 {
-  // A planned stop has a limit, and a task may outlast it. A connection that
-  // just closed would leave the caller to guess; it would send the job again
-  // while the first tasks still run.
+  // A task may outlast the time limit of a drain. If the connection just
+  // closed, the caller would resubmit the job while the first tasks still run.
   sized_world world(1, 1, 31);
   uint64_t running = world.Submit(0, 10, 5000, 9000);
   world.Run(milliseconds(200));
@@ -65,11 +63,12 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("an entry that is killed: its job runs again, never twice at a time")
+TEST_CASE(
+  "a job resubmitted after its entry was killed never runs twice at a time")
 {
-  // An entry dies while its tasks run. The caller's connection breaks and it
-  // sends the job again 1.3 s later, elsewhere. If the first tasks still ran
-  // by then, a user's order would be carried out by two servers at once.
+  // An entry is killed while its tasks run, and the caller resubmits the job to
+  // another entry 1.3 s later. Guards against running a task on two backend
+  // servers at the same time.
   sized_world world(2, 3, 2);
   uint64_t job = world.Submit(0, 6, 3000, 5000);
   world.Run(milliseconds(200));
@@ -80,11 +79,11 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("an entry without a path to its executors loses its tasks in time")
+TEST_CASE("tasks of a disconnected entry are stopped before a resubmission")
 {
-  // The network between an entry and all backend servers goes, and the caller
-  // gives up and sends the job to another entry 1.3 s later. The executors
-  // must have stopped the first tasks by then without hearing from anybody.
+  // An entry loses its connections to all executors, and the caller resubmits
+  // the job to another entry 1.3 s later. The executors must have stopped the
+  // first tasks by then without receiving a message.
   sized_world world(2, 2, 3);
   uint64_t job = world.Submit(0, 2, 4000, 6000);
   world.Run(milliseconds(200));
@@ -97,11 +96,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE(
-  "an executor that is killed: its tasks start elsewhere after the lease")
+TEST_CASE("tasks of a killed executor start elsewhere only after the lease")
 {
-  // An executor dies and its backend server goes on with what it runs until
-  // the lease ends. The entry must not place the tasks again before that.
+  // After its executor is killed, a backend server runs its tasks until the
+  // lease expires. The entry must not place the tasks again before that.
   sized_world world(1, 2, 4);
   world.Server(1).mDown = true;
   world.Run(milliseconds(400));
@@ -115,11 +113,11 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("an executor that restarts ends what it finds running")
+TEST_CASE("a restarted executor stops the tasks that it finds running")
 {
-  // The process beside a backend server is replaced in an instant. What runs
-  // there belongs to nobody any more and its size is unknown; new work started
-  // beside it could bring the backend server over its capacity.
+  // An executor restarts within milliseconds. The tasks that still run on its
+  // backend server belong to no entry and their sizes are unknown; new tasks
+  // beside them could exceed the capacity of the backend server.
   sized_world world(1, 1, 5);
   world.Submit(0, 10, 2000, 1500);
   world.Run(milliseconds(100));
@@ -133,11 +131,11 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("a paused executor: a task that it still holds is not run elsewhere")
+TEST_CASE("a task of a paused executor never runs elsewhere at the same time")
 {
-  // An executor stands still for two seconds and does not know. Its backend
-  // server ends the tasks when the lease is over; the entry notices the
-  // silence earlier and must wait for that.
+  // An executor is paused for two seconds without noticing. Its backend server
+  // ends the tasks when the lease expires. The entry finds that the executor
+  // has timed out before that, and must not place the tasks again until then.
   sized_world world(1, 2, 6);
   uint64_t job = world.Submit(0, 12, 900, 5000);
   world.Run(milliseconds(100));
@@ -147,11 +145,11 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("a paused entry answers its jobs or lets them go when it wakes")
+TEST_CASE("a paused entry answers overdue jobs as expired when it resumes")
 {
-  // An entry stands still for a second and a half. Its tasks are stopped as
-  // orphans; when it wakes, the callers' time is over. They hear that, and no
-  // task is started for them any more.
+  // An entry is paused for 1.6 s. Its executors stop its tasks, and when it
+  // resumes, the deadlines of its jobs have passed. It must answer them as
+  // expired and start no task for them.
   sized_world world(2, 2, 7);
   uint64_t job = world.Submit(0, 4, 900, 1500);
   world.Run(milliseconds(100));
@@ -163,11 +161,11 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("orders that are carried out seconds late start nothing twice")
+TEST_CASE("requests that are carried out seconds late start no task twice")
 {
-  // A backend server leaves one order in ten unanswered and carries it out
-  // seconds later. A start that was given up on must not run beside the one
-  // that took its place, and users should hardly notice.
+  // The backend servers leave one request in ten unanswered and carry it out
+  // seconds later. A start that was given up must not run at the same time as
+  // its retry, and most jobs should still meet their objective.
   sized_world world(2, 4, 8);
   for (size_t i = 0; i < 4; i++) {
     world.Server(i).mUnansweredShare = 0.1;
@@ -181,11 +179,11 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("a backend server that crashes: its tasks run elsewhere at once")
+TEST_CASE("tasks of a crashed backend server are restarted at once")
 {
-  // A backend server dies with what it runs and is back 300 ms later under a
-  // new life. Its executor sees the new life and says what is lost, so that
-  // users wait for a new start and not for a deadline.
+  // A backend server crashes and is back 150 ms later. Its executor sees the
+  // new incarnation and reports the tasks that are lost, so that callers wait
+  // for a restart of the tasks and not for a deadline.
   sized_world world(1, 2, 9);
   uint64_t job = world.Submit(0, 12, 500, 5000);
   world.Run(milliseconds(100));
@@ -199,10 +197,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("a backend server that fails everything is set aside")
+TEST_CASE("a backend server that fails every task is quarantined")
 {
-  // A backend server fails whatever it starts, and fast, so that it always has
-  // room. It would draw in and fail most of the jobs.
+  // A backend server fails every task quickly and therefore always has free
+  // capacity. Guards against placing most tasks there, where they fail.
   sized_world world(1, 4, 10);
   world.Server(2).mFailsAll = true;
   for (int i = 0; i < 100; i++) {
@@ -214,10 +212,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("a draining backend server gets nothing new")
+TEST_CASE("a draining backend server gets no new tasks")
 {
-  // A backend server says that it is leaving. What runs there ends; a task
-  // started after that would be cut off with it.
+  // A backend server announces that it drains. Running tasks end there; a task
+  // started afterwards would be interrupted when it stops.
   sized_world world(1, 2, 11);
   world.Submit(0, 8, 400);
   world.Run(milliseconds(100));
@@ -233,10 +231,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("a planned stop of an executor cuts nothing off")
+TEST_CASE("draining an executor interrupts no task")
 {
-  // An executor is replaced. Its running tasks end first; what is queued goes
-  // to the others; the users of both notice nothing.
+  // An executor drains. Its running tasks end first and its queued tasks go to
+  // other executors; every job completes.
   sized_world world(1, 2, 12);
   for (int i = 0; i < 20; i++) {
     world.At(milliseconds(40 * i), [&world] { world.Submit(0, 2, 150); });
@@ -250,9 +248,9 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("a caller that leaves takes its tasks along")
+TEST_CASE("the tasks of a job are stopped when its caller disconnects")
 {
-  // Callers give up. Work that nobody waits for would keep others waiting.
+  // Tasks whose answer nobody waits for would take capacity from others.
   sized_world world(1, 1, 13);
   uint64_t job = world.Submit(0, 8, 1000);
   world.Run(milliseconds(100));
@@ -263,10 +261,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("a job sent twice at a time is one job with two answers")
+TEST_CASE("a job submitted twice at a time runs once and is answered twice")
 {
-  // A caller believes its job lost and sends it again while it runs. Both
-  // requests get the whole answer, and each task runs once.
+  // A caller resubmits its job while it runs. Both requests get the answer, and
+  // each task runs once.
   sized_world world(1, 2, 14);
   uint64_t job = world.Submit(0, 4, 200);
   world.At(milliseconds(50), [&] { world.SubmitAgain(job, 0); });
@@ -276,14 +274,13 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("twice the load: those served are in time, the others hear at once")
+TEST_CASE("at twice the capacity, jobs are answered in time or refused at once")
 {
-  // More work comes than the backend servers can do. If all of it was queued,
-  // every user's answer would be late. Half of the users can be served in
-  // time; the others are told at once that nothing was run, and when to come
-  // back.
+  // Twice as many jobs arrive as the backend servers can run. If all of them
+  // were queued, every answer would be late. Half of the jobs can be in time;
+  // the others must be refused at once with a time to retry.
   sized_world world(2, 4, 15);
-  // 40 tasks fit; jobs of 4 tasks of 200 ms: 50 jobs a second is all.
+  // 40 tasks fit. With jobs of 4 tasks of 200 ms, that is 50 jobs per second.
   for (int i = 0; i < 400; i++) {
     world.At(milliseconds(10 * i),
              [&world, i] { world.Submit(i % 2, 4, 200); });
@@ -304,10 +301,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("a task of far greater size than declared moves to a faster server")
+TEST_CASE("a task that is too slow moves to a faster backend server")
 {
-  // A job says 300 ms and takes 1800 on a slow backend server, beyond its
-  // deadline; a fast one is free. The user should still get the answer.
+  // A task takes 1.8 s on a slow backend server, beyond its deadline of 1.5 s,
+  // and a fast one becomes free. The job should still complete.
   sized_world world(1, 2, 16);
   world.Server(0).mSpeed = 0.6;
   world.Server(1).mSpeed = 1.8;
@@ -315,7 +312,8 @@
     world.At(milliseconds(25 * i), [&world] { world.Submit(0, 2, 100); });
   }
   world.Run(seconds(2));
-  // Fill the fast one briefly, so that the long job starts on the slow one.
+  // Fills the fast backend server briefly, so that the long task starts on the
+  // slow one.
   world.Submit(0, 10, 150);
   world.Run(milliseconds(5));
   uint64_t job = world.Submit(0, 1, 1100, 1500);
@@ -324,10 +322,10 @@
   CheckNothingBroken(world);
 }
 
-TEST_CASE("random schedules break nothing")
+TEST_CASE("random failures under load violate no invariant")
 {
-  // Kills, pauses, cuts, crashes, drains and late orders at random moments,
-  // several at a time, under load.
+  // Kills, pauses, lost connections, crashes and late requests at random times,
+  // several of them at the same time, under load.
   for (uint32_t seed = 1; seed <= 60; seed++) {
     CAPTURE(seed);
     sized_world world(3, 5, seed);
