--- a/cactusmast/job_coordinator.cc
+++ b/cactusmast/job_coordinator.cc
@@ -16,7 +16,7 @@
   kEndings = { "completed", "failed", "refused", "expired" };
 
 instant
-MsFrom(instant aNow, double aMs)
+AddMs(instant aNow, double aMs)
 {
   return aNow + duration(int64_t(aMs * 1000));
 }
@@ -63,11 +63,11 @@
   }
   // Capacity that became free since all waiting tasks were last tried goes to
   // the most urgent of them, not to the next new job.
-  bool behind = mCapacityChanged && !mWaiting.empty();
-  const job& made = Admit(aRequest, aNow);
-  if (!behind) {
-    PlaceNew(made, aNow);
-  } else if (IsPlacingDue(aNow)) {
+  bool othersFirst = mCapacityChanged && !mWaiting.empty();
+  const job& admitted = Admit(aRequest, aNow);
+  if (!othersFirst) {
+    PlaceNew(admitted, aNow);
+  } else if (IsPlacementDue(aNow)) {
     PlaceWaiting(aNow);
   }
 }
@@ -80,14 +80,14 @@
     if (!IsUnsatisfiable(mViews, service, step)) {
       continue;
     }
-    job_outcome never{ job_ending::Failed, "no backend server can hold it" };
+    job_outcome outcome{ job_ending::Failed, "no backend server can hold it" };
     mCounters.mFailed++;
     mEvents.Emit(event_code::JobRefused,
                  { { "job", FormatJobId(aRequest.mJob) },
-                   { "reason", never.mReason },
+                   { "reason", outcome.mReason },
                    { "cpu_millis", std::to_string(step.mSize.mCpuMillis) },
                    { "servers", std::to_string(mViews.size()) } });
-    mAnswers.Answer(aRequest.mCaller, never);
+    mAnswers.Answer(aRequest.mCaller, outcome);
     return true;
   }
   return false;
@@ -96,66 +96,66 @@
 const job_coordinator::job&
 job_coordinator::Admit(job_request& aRequest, instant aNow)
 {
-  const route& way = *aRequest.mRoute;
+  const route& jobRoute = *aRequest.mRoute;
   mCounters.mAccepted++;
-  job& made = mJobs[aRequest.mJob];
-  made.mId = aRequest.mJob;
-  made.mCallers.push_back(aRequest.mCaller);
+  job& admitted = mJobs[aRequest.mJob];
+  admitted.mId = aRequest.mJob;
+  admitted.mCallers.push_back(aRequest.mCaller);
   mCallerJobs[aRequest.mCaller] = aRequest.mJob;
-  made.mSubmission = std::move(aRequest.mSubmission);
-  made.mTable = std::move(aRequest.mTable);
-  made.mRoute = aRequest.mRoute;
-  made.mAcceptedAt = aNow;
+  admitted.mSubmission = std::move(aRequest.mSubmission);
+  admitted.mTable = std::move(aRequest.mTable);
+  admitted.mRoute = aRequest.mRoute;
+  admitted.mAcceptedAt = aNow;
   // A timeout given by the caller holds even if it exceeds the route's timeout.
   // Otherwise tasks that run longer than the route's timeout would be stopped
   // while their callers still wait and their objective has not passed.
-  uint32_t waitMs =
-    aRequest.mCallerTimeoutMs > 0 ? aRequest.mCallerTimeoutMs : way.mTimeoutMs;
-  made.mDeadline = aNow + milliseconds(waitMs) - kAnswerMargin;
+  uint32_t waitMs = aRequest.mCallerTimeoutMs > 0 ? aRequest.mCallerTimeoutMs
+                                                  : jobRoute.mTimeoutMs;
+  admitted.mDeadline = aNow + milliseconds(waitMs) - kAnswerMargin;
   uint32_t longest = 0;
-  for (const job_step& step : made.mSubmission.mSteps) {
+  for (const job_step& step : admitted.mSubmission.mSteps) {
     longest = std::max(longest, step.mDeclaredMs);
-    made.mTasks.emplace_back(step.mCount);
-    made.mLeft += step.mCount;
+    admitted.mTasks.emplace_back(step.mCount);
+    admitted.mUnfinishedTasks += step.mCount;
   }
-  made.mCallerTimeoutMs = aRequest.mCallerTimeoutMs;
-  ApplyForecast(made, longest, aNow);
-  mDeadlines.insert({ made.mDeadline, made.mId });
-  for (size_t s = 0; s < made.mTasks.size(); s++) {
-    for (size_t i = 0; i < made.mTasks[s].size(); i++) {
-      Enqueue(made, { made.mId, uint32_t(s), uint32_t(i) });
+  admitted.mCallerTimeoutMs = aRequest.mCallerTimeoutMs;
+  ApplyForecast(admitted, longest, aNow);
+  mDeadlines.insert({ admitted.mDeadline, admitted.mId });
+  for (size_t s = 0; s < admitted.mTasks.size(); s++) {
+    for (size_t i = 0; i < admitted.mTasks[s].size(); i++) {
+      Enqueue(admitted, { admitted.mId, uint32_t(s), uint32_t(i) });
     }
   }
   mEvents.Emit(
     event_code::JobAccepted,
-    { { "job", FormatJobId(made.mId) },
-      { "route", way.mName },
-      { "config_version", std::to_string(made.mTable->Config().mVersion) },
-      { "tasks", std::to_string(made.mLeft) },
+    { { "job", FormatJobId(admitted.mId) },
+      { "route", jobRoute.mName },
+      { "config_version", std::to_string(admitted.mTable->Config().mVersion) },
+      { "tasks", std::to_string(admitted.mUnfinishedTasks) },
       { "estimate_ms", std::to_string(longest) },
-      { "forecast_ms", std::to_string(int(made.mRunTimeFactor * longest)) },
-      { "elapsed_ms", std::to_string(ToMs(aNow - made.mFirstSentAt)) },
+      { "forecast_ms", std::to_string(int(admitted.mRunTimeFactor * longest)) },
+      { "elapsed_ms", std::to_string(ToMs(aNow - admitted.mFirstSentAt)) },
       { "wait_ms", std::to_string(waitMs) } });
-  return made;
+  return admitted;
 }
 
 void
 job_coordinator::ApplyForecast(job& aJob, uint32_t aDeclaredMs, instant aNow)
 {
-  const route& way = *aJob.mRoute;
+  const route& jobRoute = *aJob.mRoute;
   double declaredMs = std::max<double>(1, aDeclaredMs);
   bool forecasts = mMechanisms.Has(mechanism::WaitForecasts);
   run_forecast forecast = mTimeoutModel.Forecast(
-    way.mName, declaredMs, forecasts ? aJob.mCallerTimeoutMs : 0);
+    jobRoute.mName, declaredMs, forecasts ? aJob.mCallerTimeoutMs : 0);
   aJob.mRunTimeFactor = forecast.mRunMs / declaredMs;
   aJob.mRunSigma = forecast.mSigma;
-  aJob.mFirstSentAt = MsFrom(aNow, -forecast.mElapsedMs);
-  aJob.mObjectiveAt =
-    MsFrom(aJob.mFirstSentAt,
-           way.mObjectiveStretch * forecast.mRunMs + way.mObjectiveBaseMs);
+  aJob.mFirstSentAt = AddMs(aNow, -forecast.mElapsedMs);
+  aJob.mObjectiveAt = AddMs(aJob.mFirstSentAt,
+                            jobRoute.mObjectiveStretch * forecast.mRunMs +
+                              jobRoute.mObjectiveBaseMs);
   aJob.mUsefulUntil =
     aJob.mFirstSentAt +
-    kUsefulObjectives * (aJob.mObjectiveAt - aJob.mFirstSentAt);
+    kMaxUsefulObjectives * (aJob.mObjectiveAt - aJob.mFirstSentAt);
   if (forecast.mElapsedMs > 0) {
     // The caller of a resubmitted job still waits, so the job may use capacity
     // that is left.
@@ -179,8 +179,8 @@
   }
   uint64_t id = found->second;
   mCallerJobs.erase(found);
-  job& left = mJobs.at(id);
-  auto& callers = left.mCallers;
+  job& open = mJobs.at(id);
+  auto& callers = open.mCallers;
   callers.erase(std::remove(callers.begin(), callers.end(), aCaller),
                 callers.end());
   if (!callers.empty()) {
@@ -190,9 +190,9 @@
   mEvents.Emit(event_code::JobCancelled,
                { { "job", FormatJobId(id) },
                  { "reason", "its caller disconnected" },
-                 { "left", std::to_string(left.mLeft) } });
-  StopTasks(left);
-  mDeadlines.erase({ left.mDeadline, id });
+                 { "left", std::to_string(open.mUnfinishedTasks) } });
+  StopTasks(open);
+  mDeadlines.erase({ open.mDeadline, id });
   mJobs.erase(id);
 }
 
@@ -225,12 +225,12 @@
       }
     }
   }
-  for (auto& [place, indexes] : stops) {
-    wire::stop_tasks_msg order;
-    order.job = aJob.mId;
-    order.step = place.second;
-    order.indexes = std::move(indexes);
-    mLinks.Stop(place.first, std::move(order));
+  for (auto& [target, indexes] : stops) {
+    wire::stop_tasks_msg stop;
+    stop.job = aJob.mId;
+    stop.step = target.second;
+    stop.indexes = std::move(indexes);
+    mLinks.Stop(target.first, std::move(stop));
   }
 }
 
@@ -240,12 +240,12 @@
                             instant aNow)
 {
   uint32_t waiting = 0;
-  uint32_t settling = 0;
+  uint32_t orphaned = 0;
   uint32_t attempts = 0;
   for (const auto& step : aJob.mTasks) {
     for (const task& one : step) {
       waiting += one.mState == task_state::Waiting ? 1 : 0;
-      settling += one.mState == task_state::Orphaned ? 1 : 0;
+      orphaned += one.mState == task_state::Orphaned ? 1 : 0;
       attempts += one.mAttempt;
     }
   }
@@ -256,9 +256,9 @@
                  { "reason", aOutcome.mReason },
                  { "took_ms", std::to_string(ToMs(aNow - aJob.mAcceptedAt)) },
                  { "in_objective", aNow <= aJob.mObjectiveAt ? "yes" : "no" },
-                 { "left", std::to_string(aJob.mLeft) },
+                 { "left", std::to_string(aJob.mUnfinishedTasks) },
                  { "waiting", std::to_string(waiting) },
-                 { "settling", std::to_string(settling) },
+                 { "settling", std::to_string(orphaned) },
                  { "attempts", std::to_string(attempts) } });
 }
 
@@ -304,9 +304,9 @@
   }
   for (const auto& step : aJob.mTasks) {
     for (const task& one : step) {
-      bool ordered =
+      bool dispatched =
         one.mState != task_state::Waiting && one.mState != task_state::Reserved;
-      if (ordered) {
+      if (dispatched) {
         return true;
       }
     }
@@ -333,10 +333,10 @@
 job_outcome
 job_coordinator::ExpiryOf(const job& aJob, const std::string& aReason) const
 {
-  bool ran = MayHaveRun(aJob);
-  return { ran ? job_ending::Expired : job_ending::Refused,
+  bool mayHaveRun = MayHaveRun(aJob);
+  return { mayHaveRun ? job_ending::Expired : job_ending::Refused,
            aReason,
-           ran ? duration{} : kRetryAfter };
+           mayHaveRun ? duration{} : kCapacityRetryAfter };
 }
 
 void
@@ -358,18 +358,18 @@
 }
 
 bool
-job_coordinator::IsPlacingDue(instant aNow) const
+job_coordinator::IsPlacementDue(instant aNow) const
 {
-  return mCapacityChanged && aNow - mPlacedAt >= kPlaceInterval;
+  return mCapacityChanged && aNow - mLastPlacementAt >= kMinPlacementInterval;
 }
 
 void
 job_coordinator::Tick(instant aNow)
 {
-  DropSilentExecutors(aNow);
+  CheckExecutorTimeouts(aNow);
   ExpireOrphans(aNow);
   ExpireJobs(aNow);
-  if (IsPlacingDue(aNow) && !mWaiting.empty()) {
+  if (IsPlacementDue(aNow) && !mWaiting.empty()) {
     PlaceWaiting(aNow);
   }
 }
--- a/cactusmast/job_coordinator.h
+++ b/cactusmast/job_coordinator.h
@@ -87,8 +87,8 @@
 {
 public:
   virtual ~coordinator_links() = default;
-  virtual void Start(peer_id aExecutor, wire::start_tasks_msg aOrder) = 0;
-  virtual void Stop(peer_id aExecutor, wire::stop_tasks_msg aOrder) = 0;
+  virtual void Start(peer_id aExecutor, wire::start_tasks_msg aDispatch) = 0;
+  virtual void Stop(peer_id aExecutor, wire::stop_tasks_msg aStop) = 0;
   // Begins or ends the subscription to the executor's reports.
   virtual void Subscribe(peer_id aExecutor, bool aWanted) = 0;
   // Sends the current evacuations, which have changed.
@@ -148,10 +148,10 @@
   void OnExecutorUp(peer_id aPeer, const peer_identity& aWho, instant aNow);
   void OnExecutorDown(peer_id aPeer, instant aNow);
   void OnReport(peer_id aPeer,
-                const wire::server_report_msg& aSaid,
+                const wire::server_report_msg& aReport,
                 instant aNow);
-  // aSaid: from the store or another process; empty: nothing is known.
-  void OnEvacuations(const std::optional<evacuation_update>& aSaid,
+  // aUpdate: from the store or another process; empty: nothing is known.
+  void OnEvacuations(const std::optional<evacuation_update>& aUpdate,
                      instant aNow);
   // To be called in each turn of the loop.
   void Tick(instant aNow);
@@ -166,7 +166,7 @@
   // The number of those that tasks are placed on.
   size_t PlaceableServers() const;
   // Executors with open tasks, which have to get heartbeats.
-  const std::set<peer_id>& BusyExecutors() const { return mBusy; }
+  const std::set<peer_id>& BusyExecutors() const { return mBusyExecutors; }
   const coordinator_counters& Counters() const { return mCounters; }
   timeout_model& TimeoutModel() { return mTimeoutModel; }
 
@@ -211,7 +211,7 @@
     // An answer after this is estimated to be worth nothing to the caller.
     instant mUsefulUntil{};
     std::vector<std::vector<task>> mTasks; // by step and index
-    uint32_t mLeft = 0;                    // tasks that are not done
+    uint32_t mUnfinishedTasks = 0;         // tasks that are not done
     // An attempt was started, or was lost so that this is unknown.
     bool mAnyStarted = false;
   };
@@ -250,7 +250,7 @@
   void Enqueue(const job& aJob, const task_key& aKey);
   waiting_key WaitingKey(const job& aJob, const task_key& aKey) const;
   task& TaskOf(job& aJob, const task_key& aKey);
-  bool IsPlacingDue(instant aNow) const;
+  bool IsPlacementDue(instant aNow) const;
   // Places all waiting tasks that can be placed. The tasks of one step for one
   // executor are sent in one dispatch.
   void PlaceWaiting(instant aNow);
@@ -266,11 +266,11 @@
   void Unplace(job& aJob, std::vector<task_key>* aUnplaced);
   // Whether the capacity that stays idle while aJob waits until all its tasks
   // fit is small.
-  static bool MayWaitForAll(const job& aJob, const service_capacity& aRoom);
-  // aRooms: capacities computed so far, by service.
+  static bool MayWaitForAll(const job& aJob, const service_capacity& aCapacity);
+  // aCapacities: capacities computed so far, by service.
   const service_capacity& CapacityFor(
     const job& aJob,
-    std::map<std::string_view, service_capacity>* aRooms) const;
+    std::map<std::string_view, service_capacity>* aCapacities) const;
   // While free capacity is scarce, refuses jobs that would be late and leaves
   // those that can still meet their objective waiting. Returns the tasks of all
   // other jobs.
@@ -284,9 +284,9 @@
                              const task_key& aKey,
                              placement_request aRequest);
   void SendDispatches(instant aNow);
-  void RefreshFree(executor& aAt);
+  void RefreshFree(executor& aExecutor);
   // After a report: updates whether another one is due, and the subset.
-  void NoteHeard(peer_id aPeer, instant aNow);
+  void UpdateAfterReport(peer_id aPeer, instant aNow);
   // Called after a change of mEvacuations.
   void ApplyEvacuations(instant aNow);
   // Refuses the undispatched jobs all of whose backend servers are being
@@ -297,14 +297,14 @@
   bool IsUsable(const server_view& aView) const;
   // Subscribes to the reports of new members of a subset and ends the
   // subscriptions to former ones.
-  void ApplyChange(const executor_subset::change& aChange, instant aNow);
+  void ApplySubsetChange(const executor_subset::change& aChange, instant aNow);
   // Moves the executor into the subset of aService.
-  void AssignSubset(executor& aAt, const std::string& aService);
+  void AssignSubset(executor& aExecutor, const std::string& aService);
   // Called after placement. aUnplaced: the tasks that were not placed.
   void ResizeSubsets(const std::vector<task_key>& aUnplaced, instant aNow);
   void AddOpenTask(peer_id aPeer, const task_key& aKey, instant aNow);
   void RemoveOpenTask(peer_id aPeer, const task_key& aKey);
-  void ExpectReport(executor& aAt, instant aNow);
+  void ExpectReport(executor& aExecutor, instant aNow);
   task* CurrentAttempt(peer_id aPeer, const task_key& aKey, uint32_t aAttempt);
   void OnTooSlow(peer_id aPeer,
                  const wire::task_forecast& aForecast,
@@ -325,7 +325,7 @@
   job_outcome ExpiryOf(const job& aJob, const std::string& aReason) const;
   void ExpireJobs(instant aNow);
   void ExpireOrphans(instant aNow);
-  void DropSilentExecutors(instant aNow);
+  void CheckExecutorTimeouts(instant aNow);
   void LogOutcome(const job& aJob, const job_outcome& aOutcome, instant aNow);
 
   std::string mName;
@@ -342,16 +342,16 @@
   std::set<std::pair<instant, task_key>> mOrphans;   // by mOrphanedUntil
   std::set<std::pair<instant, uint64_t>> mDeadlines; // of all open jobs
   std::map<peer_id, executor> mExecutors;            // the connected ones
-  std::set<peer_id> mBusy; // executors whose mTasks is not empty
+  std::set<peer_id> mBusyExecutors; // executors whose mTasks is not empty
   std::vector<server_view> mViews;
   std::map<std::string, executor_subset> mSubsets; // by service
   evacuation_tracker mEvacuations;
   slowness_range mSlowness; // of mViews, as of the latest placement
-  instant mNextSilenceCheck{};
+  instant mNextTimeoutCheck{};
   // Reports or waiting tasks have come since all waiting tasks were last tried.
   bool mCapacityChanged = false;
-  instant mPlacedAt{};            // when all waiting tasks were last tried
-  std::set<uint64_t> mInfeasible; // jobs to end after the current placement
+  instant mLastPlacementAt{};         // when all waiting tasks were last tried
+  std::set<uint64_t> mInfeasibleJobs; // jobs to end after the current placement
   // Indexes of reserved tasks by executor, job, step and estimate in ms.
   std::map<std::tuple<peer_id, uint64_t, uint32_t, uint32_t>,
            std::vector<uint32_t>>
--- a/cactusmast/job_coordinator_evacuation.cc
+++ b/cactusmast/job_coordinator_evacuation.cc
@@ -43,10 +43,10 @@
 }
 
 void
-job_coordinator::OnEvacuations(const std::optional<evacuation_update>& aSaid,
+job_coordinator::OnEvacuations(const std::optional<evacuation_update>& aUpdate,
                                instant aNow)
 {
-  if (aSaid && mEvacuations.Update(*aSaid)) {
+  if (aUpdate && mEvacuations.Update(*aUpdate)) {
     ApplyEvacuations(aNow);
   }
 }
@@ -60,10 +60,10 @@
                  { "version", std::to_string(state.mVersion) },
                  { "age_ms", std::to_string(ToMs(mEvacuations.Age(aNow))) } });
   std::vector<peer_id> peers;
-  for (auto& [peer, at] : mExecutors) {
+  for (auto& [peer, peerState] : mExecutors) {
     peers.push_back(peer);
-    if (at.mSubset != nullptr) {
-      at.mSubset->SetUsable(peer, IsUsable(mViews[at.mView]));
+    if (peerState.mSubset != nullptr) {
+      peerState.mSubset->SetUsable(peer, IsUsable(mViews[peerState.mView]));
     }
   }
   // Sending may close a connection, which removes its executor.
@@ -73,7 +73,7 @@
     }
   }
   for (auto& [service, subset] : mSubsets) {
-    ApplyChange(subset.Update(), aNow);
+    ApplySubsetChange(subset.Update(), aNow);
   }
   mCapacityChanged = true;
   RefuseEvacuatedJobs(aNow);
@@ -102,15 +102,15 @@
 void
 job_coordinator::RefuseEvacuatedJobs(instant aNow)
 {
-  std::vector<uint64_t> unservable;
+  std::vector<uint64_t> evacuatedJobs;
   for (const auto& [id, open] : mJobs) {
     bool refused = !MayHaveRun(open) &&
                    IsAllEvacuated(mViews, mEvacuations, open.mRoute->mService);
     if (refused) {
-      unservable.push_back(id);
+      evacuatedJobs.push_back(id);
     }
   }
-  for (uint64_t id : unservable) {
+  for (uint64_t id : evacuatedJobs) {
     Finish(
       id, { job_ending::Refused, kAllEvacuated, kRetryAfterEvacuation }, aNow);
   }
--- a/cactusmast/job_coordinator_executors.cc
+++ b/cactusmast/job_coordinator_executors.cc
@@ -56,11 +56,11 @@
   if (found == mExecutors.end()) {
     return;
   }
-  std::set<task_key> unsure = std::move(found->second.mTasks);
+  std::set<task_key> openTasks = std::move(found->second.mTasks);
   size_t index = found->second.mView;
   executor_subset* subset = found->second.mSubset;
   mExecutors.erase(found);
-  mBusy.erase(aPeer);
+  mBusyExecutors.erase(aPeer);
   mViews.erase(mViews.begin() + long(index));
   for (auto& [peer, other] : mExecutors) {
     if (other.mView > index) {
@@ -69,15 +69,15 @@
   }
   if (subset != nullptr) {
     subset->Remove(aPeer);
-    ApplyChange(subset->Update(), aNow);
+    ApplySubsetChange(subset->Update(), aNow);
   }
-  for (const task_key& key : unsure) {
+  for (const task_key& key : openTasks) {
     MarkOrphaned(key, aNow + kMaxOrphanLifetime);
   }
-  if (!unsure.empty()) {
+  if (!openTasks.empty()) {
     mEvents.Emit(event_code::WorkerLost,
                  { { "peer", std::to_string(aPeer) },
-                   { "tasks_unsettled", std::to_string(unsure.size()) } });
+                   { "tasks_unsettled", std::to_string(openTasks.size()) } });
   }
 }
 
@@ -99,32 +99,32 @@
 }
 
 void
-job_coordinator::RefreshFree(executor& aAt)
+job_coordinator::RefreshFree(executor& aExecutor)
 {
-  resources free = aAt.mReportedFree;
+  resources free = aExecutor.mReportedFree;
   resources unreported;
-  for (const auto& [offer, size] : aAt.mUnreported) {
+  for (const auto& [number, size] : aExecutor.mUnreported) {
     unreported += size;
   }
   free -= unreported;
-  mViews[aAt.mView].mFree = free;
-  mViews[aAt.mView].mUnreportedCpuMillis = unreported.mCpuMillis;
+  mViews[aExecutor.mView].mFree = free;
+  mViews[aExecutor.mView].mUnreportedCpuMillis = unreported.mCpuMillis;
 }
 
 void
 job_coordinator::OnReport(peer_id aPeer,
-                          const wire::server_report_msg& aSaid,
+                          const wire::server_report_msg& aReport,
                           instant aNow)
 {
   auto found = mExecutors.find(aPeer);
   if (found == mExecutors.end()) {
     return;
   }
-  executor& at = found->second;
-  at.mLastHeard = aNow;
-  server_view& view = mViews[at.mView];
+  executor& peerState = found->second;
+  peerState.mLastHeard = aNow;
+  server_view& view = mViews[peerState.mView];
   auto state = server_state(
-    std::min<uint8_t>(aSaid.state, uint8_t(server_state::Count) - 1));
+    std::min<uint8_t>(aReport.state, uint8_t(server_state::Count) - 1));
   if (view.mState != state) {
     mEvents.Emit(event_code::ServerStateChanged,
                  { { "server", view.mName },
@@ -132,35 +132,36 @@
                    { "now", std::string(Name(state)) } });
   }
   view.mState = state;
-  if (at.mSubset == nullptr || view.mService != aSaid.service) {
-    view.mService = aSaid.service;
-    AssignSubset(at, aSaid.service);
-  }
-  view.mCapacity = { aSaid.cpu_millis, aSaid.memory_mb, aSaid.gpus };
-  view.mQueuedCpuMillis = aSaid.queued_cpu_millis;
-  view.mSlowness = aSaid.slowness_permille / 1000.0;
-  view.mMeanRunMs = aSaid.mean_run_ms;
-  view.mStartDelayMs = aSaid.room_in_ms;
-  view.mLabels = aSaid.labels;
+  if (peerState.mSubset == nullptr || view.mService != aReport.service) {
+    view.mService = aReport.service;
+    AssignSubset(peerState, aReport.service);
+  }
+  view.mCapacity = { aReport.cpu_millis, aReport.memory_mb, aReport.gpus };
+  view.mQueuedCpuMillis = aReport.queued_cpu_millis;
+  view.mSlowness = aReport.slowness_permille / 1000.0;
+  view.mMeanRunMs = aReport.mean_run_ms;
+  view.mStartDelayMs = aReport.room_in_ms;
+  view.mLabels = aReport.labels;
   view.mReportedAt = aNow;
-  at.mReportedFree = { aSaid.free_cpu_millis,
-                       aSaid.free_memory_mb,
-                       aSaid.free_gpus };
-  at.mUnreported.erase(at.mUnreported.begin(),
-                       at.mUnreported.upper_bound(aSaid.last_offer));
-  RefreshFree(at);
+  peerState.mReportedFree = { aReport.free_cpu_millis,
+                              aReport.free_memory_mb,
+                              aReport.free_gpus };
+  peerState.mUnreported.erase(
+    peerState.mUnreported.begin(),
+    peerState.mUnreported.upper_bound(aReport.last_offer));
+  RefreshFree(peerState);
   mCapacityChanged = true;
-  for (const wire::task_end& end : aSaid.ends) {
+  for (const wire::task_end& end : aReport.ends) {
     OnEnd(aPeer, end, aNow);
   }
-  for (const wire::task_forecast& forecast : aSaid.too_slow) {
+  for (const wire::task_forecast& forecast : aReport.too_slow) {
     OnTooSlow(aPeer, forecast, aNow);
   }
-  NoteHeard(aPeer, aNow);
+  UpdateAfterReport(aPeer, aNow);
 }
 
 void
-job_coordinator::NoteHeard(peer_id aPeer, instant aNow)
+job_coordinator::UpdateAfterReport(peer_id aPeer, instant aNow)
 {
   // Jobs that ended with the report may have closed the connection, because a
   // stop for their other tasks can overflow its send queue.
@@ -168,15 +169,15 @@
   if (found == mExecutors.end()) {
     return;
   }
-  executor& at = found->second;
-  if (at.mTasks.empty()) {
-    at.mReportDueSince = instant(0);
+  executor& peerState = found->second;
+  if (peerState.mTasks.empty()) {
+    peerState.mReportDueSince = instant(0);
   }
-  server_view& view = mViews[at.mView];
-  at.mSubset->SetUsable(aPeer, IsUsable(view));
-  executor_subset::change change = at.mSubset->Update();
-  view.mPlaceable = at.mSubset->Has(aPeer);
-  ApplyChange(change, aNow);
+  server_view& view = mViews[peerState.mView];
+  peerState.mSubset->SetUsable(aPeer, IsUsable(view));
+  executor_subset::change change = peerState.mSubset->Update();
+  view.mPlaceable = peerState.mSubset->Has(aPeer);
+  ApplySubsetChange(change, aNow);
 }
 
 // Null unless the task is placed at aPeer with this attempt. Reports may refer
@@ -209,46 +210,46 @@
 {
   task_key key = KeyOf(aForecast);
   task* current = CurrentAttempt(aPeer, key, aForecast.attempt());
-  auto at = mExecutors.find(aPeer);
-  if (current == nullptr || at == mExecutors.end()) {
+  auto peerState = mExecutors.find(aPeer);
+  if (current == nullptr || peerState == mExecutors.end()) {
     return;
   }
   job& owner = mJobs.at(key.mJob);
   task& one = *current;
   one.mProgressEstimateMs =
-    uint32_t(aForecast.total_ms() / mViews[at->second.mView].mSlowness);
+    uint32_t(aForecast.total_ms() / mViews[peerState->second.mView].mSlowness);
   placement_request request = RequestFor(owner, key, aNow);
   request.mAvoid = aPeer;
   placement_decision decision = ChooseServer(mViews, request, mRandom);
-  bool better = mMechanisms.Has(mechanism::SlowTaskMoves) &&
-                decision.mVerdict == placement_verdict::Place &&
-                decision.mChoice.mForecast.mMissRisk < kMaxMoveRisk;
+  bool moves = mMechanisms.Has(mechanism::SlowTaskMoves) &&
+               decision.mVerdict == placement_verdict::Place &&
+               decision.mChoice.mForecast.mMissRisk < kMaxMoveRisk;
   mEvents.Emit(
     event_code::TaskTooSlow,
     { { "job", FormatJobId(key.mJob) },
       { "index", std::to_string(key.mIndex) },
-      { "server", mViews[at->second.mView].mName },
+      { "server", mViews[peerState->second.mView].mName },
       { "total_ms", std::to_string(aForecast.total_ms()) },
       { "left_ms", std::to_string(int(MsBetween(aNow, owner.mDeadline))) },
       { "declared_ms", std::to_string(request.mStep->mDeclaredMs) },
-      { "moves", better ? "yes" : "no" } });
-  bool hopeless = decision.mVerdict == placement_verdict::Infeasible &&
-                  aForecast.total_ms() >
-                    kCertainMissFactor * MsBetween(aNow, owner.mDeadline);
-  if (hopeless) {
+      { "moves", moves ? "yes" : "no" } });
+  bool infeasible = decision.mVerdict == placement_verdict::Infeasible &&
+                    aForecast.total_ms() >
+                      kCertainMissFactor * MsBetween(aNow, owner.mDeadline);
+  if (infeasible) {
     Finish(key.mJob,
            { job_ending::Expired, "cannot end before its deadline", {} },
            aNow);
     return;
   }
-  if (!better) {
+  if (!moves) {
     return;
   }
-  wire::stop_tasks_msg order;
-  order.job = key.mJob;
-  order.step = key.mStep;
-  order.indexes.push_back(key.mIndex);
-  mLinks.Stop(aPeer, std::move(order));
+  wire::stop_tasks_msg stop;
+  stop.job = key.mJob;
+  stop.step = key.mStep;
+  stop.indexes.push_back(key.mIndex);
+  mLinks.Stop(aPeer, std::move(stop));
 }
 
 void
@@ -256,7 +257,7 @@
 {
   task_key key = KeyOf(aEnd);
   RemoveOpenTask(aPeer, key);
-  auto at = mExecutors.find(aPeer);
+  auto peerState = mExecutors.find(aPeer);
   task* current = CurrentAttempt(aPeer, key, aEnd.attempt());
   if (current == nullptr) {
     return;
@@ -266,17 +267,17 @@
   auto outcome = attempt_outcome(aEnd.outcome());
   if (outcome == attempt_outcome::Done) {
     one.mState = task_state::Done;
-    if (at != mExecutors.end()) {
-      double slowness = mViews[at->second.mView].mSlowness;
+    if (peerState != mExecutors.end()) {
+      double slowness = mViews[peerState->second.mView].mSlowness;
       ObserveRunTime(owner, key, aEnd.run_ms(), slowness);
     }
-    if (--owner.mLeft == 0) {
+    if (--owner.mUnfinishedTasks == 0) {
       Finish(key.mJob, { job_ending::Completed, "", {} }, aNow);
     }
     return;
   }
   std::string server =
-    at == mExecutors.end() ? "" : mViews[at->second.mView].mName;
+    peerState == mExecutors.end() ? "" : mViews[peerState->second.mView].mName;
   mEvents.Emit(event_code::AttemptEnded,
                { { "job", FormatJobId(key.mJob) },
                  { "server", server },
@@ -343,10 +344,10 @@
 void
 job_coordinator::AddOpenTask(peer_id aPeer, const task_key& aKey, instant aNow)
 {
-  executor& at = mExecutors.at(aPeer);
-  at.mTasks.insert(aKey);
-  mBusy.insert(aPeer);
-  ExpectReport(at, aNow);
+  executor& peerState = mExecutors.at(aPeer);
+  peerState.mTasks.insert(aKey);
+  mBusyExecutors.insert(aPeer);
+  ExpectReport(peerState, aNow);
 }
 
 void
@@ -358,35 +359,35 @@
   }
   found->second.mTasks.erase(aKey);
   if (found->second.mTasks.empty()) {
-    mBusy.erase(aPeer);
+    mBusyExecutors.erase(aPeer);
   }
 }
 
 void
-job_coordinator::ExpectReport(executor& aAt, instant aNow)
+job_coordinator::ExpectReport(executor& aExecutor, instant aNow)
 {
-  if (aAt.mReportDueSince.count() == 0) {
-    aAt.mReportDueSince = aNow;
+  if (aExecutor.mReportDueSince.count() == 0) {
+    aExecutor.mReportDueSince = aNow;
   }
 }
 
 void
-job_coordinator::AssignSubset(executor& aAt, const std::string& aService)
+job_coordinator::AssignSubset(executor& aExecutor, const std::string& aService)
 {
-  const server_view& view = mViews[aAt.mView];
-  if (aAt.mSubset != nullptr) {
-    aAt.mSubset->Remove(view.mPeer);
+  const server_view& view = mViews[aExecutor.mView];
+  if (aExecutor.mSubset != nullptr) {
+    aExecutor.mSubset->Remove(view.mPeer);
   }
   bool limited = mMechanisms.Has(mechanism::ExecutorSubset);
   auto [found, added] = mSubsets.try_emplace(
     aService, mName, mDataCenter, limited ? kMinSubsetSize : kUnlimitedSubset);
-  aAt.mSubset = &found->second;
-  aAt.mSubset->Add(view.mPeer, view.mName, view.mDataCenter);
+  aExecutor.mSubset = &found->second;
+  aExecutor.mSubset->Add(view.mPeer, view.mName, view.mDataCenter);
 }
 
 void
-job_coordinator::ApplyChange(const executor_subset::change& aChange,
-                             instant aNow)
+job_coordinator::ApplySubsetChange(const executor_subset::change& aChange,
+                                   instant aNow)
 {
   for (peer_id peer : aChange.mJoined) {
     auto found = mExecutors.find(peer);
@@ -408,44 +409,44 @@
 job_coordinator::ResizeSubsets(const std::vector<task_key>& aUnplaced,
                                instant aNow)
 {
-  std::set<std::string_view> shortOf;
+  std::set<std::string_view> unplacedServices;
   for (const task_key& key : aUnplaced) {
     auto found = mJobs.find(key.mJob);
     if (found != mJobs.end()) {
-      shortOf.insert(found->second.mRoute->mService);
+      unplacedServices.insert(found->second.mRoute->mService);
     }
   }
   for (auto& [service, subset] : mSubsets) {
     double freeShare = CapacityOf(mViews, service).FreeShare();
-    bool isShort = shortOf.count(service) > 0;
-    if (!subset.AdjustSize(freeShare, isShort, aNow)) {
+    bool hasUnplaced = unplacedServices.count(service) > 0;
+    if (!subset.AdjustSize(freeShare, hasUnplaced, aNow)) {
       continue;
     }
     mEvents.Emit(event_code::SubsetResized,
                  { { "service", service },
                    { "size", std::to_string(subset.Size()) },
                    { "free_share", std::to_string(freeShare) },
-                   { "unplaced", isShort ? "yes" : "no" } });
-    ApplyChange(subset.Update(), aNow);
+                   { "unplaced", hasUnplaced ? "yes" : "no" } });
+    ApplySubsetChange(subset.Update(), aNow);
   }
 }
 
 void
-job_coordinator::DropSilentExecutors(instant aNow)
+job_coordinator::CheckExecutorTimeouts(instant aNow)
 {
-  if (aNow < mNextSilenceCheck) {
+  if (aNow < mNextTimeoutCheck) {
     return;
   }
-  mNextSilenceCheck = aNow + kSilenceCheckInterval;
-  std::vector<peer_id> silent;
-  for (const auto& [peer, at] : mExecutors) {
-    bool awaited = at.mReportDueSince.count() != 0;
-    instant since = std::max(at.mLastHeard, at.mReportDueSince);
-    if (awaited && aNow - since > kExecutorTimeout) {
-      silent.push_back(peer);
+  mNextTimeoutCheck = aNow + kTimeoutCheckInterval;
+  std::vector<peer_id> timedOut;
+  for (const auto& [peer, peerState] : mExecutors) {
+    bool reportDue = peerState.mReportDueSince.count() != 0;
+    instant since = std::max(peerState.mLastHeard, peerState.mReportDueSince);
+    if (reportDue && aNow - since > kExecutorTimeout) {
+      timedOut.push_back(peer);
     }
   }
-  for (peer_id peer : silent) {
+  for (peer_id peer : timedOut) {
     mEvents.Emit(event_code::PeerSilent,
                  { { "peer", mViews[mExecutors[peer].mView].mName } });
     mLinks.Close(peer);
--- a/cactusmast/job_coordinator_limits.h
+++ b/cactusmast/job_coordinator_limits.h
@@ -19,7 +19,7 @@
 constexpr duration kAnswerMargin = milliseconds(12);
 // When a caller that was refused for lack of capacity may retry: about the run
 // time of the longest waiting tasks.
-constexpr duration kRetryAfter = milliseconds(1000);
+constexpr duration kCapacityRetryAfter = milliseconds(1000);
 
 // When a caller that was refused because of evacuations may retry. Evacuations
 // last for minutes, and their end is not known in advance.
@@ -27,7 +27,7 @@
 
 // An answer is worth nothing to its caller after this many times the objective.
 // No task is started that can only end later.
-constexpr int kUsefulObjectives = 3;
+constexpr int kMaxUsefulObjectives = 3;
 // Bounds of forecast run times.
 constexpr double kMinRunMs = 1;
 constexpr double kMaxRunMs = 24 * 3600 * 1000.0;
@@ -50,12 +50,12 @@
 constexpr uint32_t kMaxUnplacedSteps = 12;
 // Interval of the check for executors that have timed out. The check visits all
 // executors, and the loop of a small entry makes hundreds of turns a second.
-constexpr duration kSilenceCheckInterval = milliseconds(25);
+constexpr duration kTimeoutCheckInterval = milliseconds(25);
 // Minimum interval between placements of all waiting tasks. All executors
 // together send thousands of reports a second; placing after each of them would
 // use all the time of a small entry once a hundred tasks wait, and make every
 // answer late.
-constexpr duration kPlaceInterval = milliseconds(5);
+constexpr duration kMinPlacementInterval = milliseconds(5);
 
 } // namespace detail
 } // namespace cactusmast
--- a/cactusmast/job_coordinator_placement.cc
+++ b/cactusmast/job_coordinator_placement.cc
@@ -35,7 +35,7 @@
 job_coordinator::PlaceWaiting(instant aNow)
 {
   mCapacityChanged = false;
-  mPlacedAt = aNow;
+  mLastPlacementAt = aNow;
   std::vector<task_key> order;
   for (const waiting_key& key : mWaiting) {
     order.push_back(std::get<2>(key));
@@ -73,9 +73,9 @@
     PlaceAll(ShedLate(late, aNow), placement_aim::BeforeDeadline, aNow);
   SendDispatches(aNow);
   ResizeSubsets(unplaced, aNow);
-  std::set<uint64_t> hopeless = std::move(mInfeasible);
-  mInfeasible.clear();
-  for (uint64_t id : hopeless) {
+  std::set<uint64_t> infeasible = std::move(mInfeasibleJobs);
+  mInfeasibleJobs.clear();
+  for (uint64_t id : infeasible) {
     auto found = mJobs.find(id); // it may have been refused by ShedLate
     if (found != mJobs.end()) {
       Finish(id,
@@ -94,12 +94,12 @@
 {
   std::vector<task_key> unplaced = aUnplaced;
   std::set<uint64_t> seen;
-  std::map<std::string_view, service_capacity> rooms;
+  std::map<std::string_view, service_capacity> capacities;
   for (const task_key& key : aUnplaced) {
     job& owner = mJobs.at(key.mJob);
-    bool considered = !seen.insert(key.mJob).second;
-    bool partial = !considered && !IsDispatched(owner) && MayHaveRun(owner);
-    if (partial && MayWaitForAll(owner, CapacityFor(owner, &rooms))) {
+    bool alreadySeen = !seen.insert(key.mJob).second;
+    bool partial = !alreadySeen && !IsDispatched(owner) && MayHaveRun(owner);
+    if (partial && MayWaitForAll(owner, CapacityFor(owner, &capacities))) {
       Unplace(owner, &unplaced);
     }
   }
@@ -109,15 +109,16 @@
 // On average, half of the capacity that a job needs for its other tasks is idle
 // until all of them fit.
 bool
-job_coordinator::MayWaitForAll(const job& aJob, const service_capacity& aRoom)
+job_coordinator::MayWaitForAll(const job& aJob,
+                               const service_capacity& aCapacity)
 {
   double emptyMillis = 0;
   for (const job_step& step : aJob.mSubmission.mSteps) {
     double others = std::max<double>(0, double(step.mCount) - 1);
     emptyMillis += others / 2 * double(step.mSize.mCpuMillis);
   }
-  return aRoom.FreeShare() < kScarceFreeShare &&
-         emptyMillis < kMaxIdleShare * double(aRoom.mTotalMillis);
+  return aCapacity.FreeShare() < kScarceFreeShare &&
+         emptyMillis < kMaxIdleShare * double(aCapacity.mTotalMillis);
 }
 
 void
@@ -150,12 +151,12 @@
 const service_capacity&
 job_coordinator::CapacityFor(
   const job& aJob,
-  std::map<std::string_view, service_capacity>* aRooms) const
+  std::map<std::string_view, service_capacity>* aCapacities) const
 {
   const std::string& service = aJob.mRoute->mService;
-  auto found = aRooms->find(service);
-  if (found == aRooms->end()) {
-    found = aRooms->emplace(service, CapacityOf(mViews, service)).first;
+  auto found = aCapacities->find(service);
+  if (found == aCapacities->end()) {
+    found = aCapacities->emplace(service, CapacityOf(mViews, service)).first;
   }
   return found->second;
 }
@@ -166,14 +167,14 @@
   if (!mMechanisms.Has(mechanism::LateRefused)) {
     return aLate;
   }
-  std::vector<task_key> kept;
+  std::vector<task_key> remaining;
   std::set<uint64_t> shed;
-  std::map<std::string_view, service_capacity> rooms;
+  std::map<std::string_view, service_capacity> capacities;
   for (const task_key& key : aLate) {
     const job& owner = mJobs.at(key.mJob);
-    const service_capacity& room = CapacityFor(owner, &rooms);
-    if (MayHaveRun(owner) || room.FreeShare() >= kScarceFreeShare) {
-      kept.push_back(key);
+    const service_capacity& capacity = CapacityFor(owner, &capacities);
+    if (MayHaveRun(owner) || capacity.FreeShare() >= kScarceFreeShare) {
+      remaining.push_back(key);
       continue;
     }
     // The job may be late only because the backend servers that can meet its
@@ -183,16 +184,18 @@
     bool late = std::get<0>(WaitingKey(owner, key)) <= aNow;
     if (late) {
       shed.insert(key.mJob);
-    } else if (!MayWaitForAll(owner, room)) {
-      kept.push_back(key);
+    } else if (!MayWaitForAll(owner, capacity)) {
+      remaining.push_back(key);
     }
   }
   for (uint64_t id : shed) {
     Finish(id,
-           { job_ending::Refused, "no room within its objective", kRetryAfter },
+           { job_ending::Refused,
+             "no room within its objective",
+             kCapacityRetryAfter },
            aNow);
   }
-  return kept;
+  return remaining;
 }
 
 std::vector<task_key>
@@ -202,15 +205,15 @@
 {
   // The tasks of one step are alike: if one cannot be placed, the others cannot
   // either.
-  std::pair<uint64_t, uint32_t> stuck{ 0, UINT32_MAX };
-  std::vector<task_key> left;
-  uint32_t stuckSteps = 0;
-  uint32_t maxStuckSteps =
+  std::pair<uint64_t, uint32_t> unplacedStep{ 0, UINT32_MAX };
+  std::vector<task_key> unplaced;
+  uint32_t unplacedSteps = 0;
+  uint32_t maxUnplacedSteps =
     mMechanisms.Has(mechanism::StuckLimit) ? kMaxUnplacedSteps : UINT32_MAX;
   for (const task_key& key : aOrder) {
-    bool alike = std::make_pair(key.mJob, key.mStep) == stuck;
-    if (alike || stuckSteps >= maxStuckSteps) {
-      left.push_back(key);
+    bool sameStep = std::make_pair(key.mJob, key.mStep) == unplacedStep;
+    if (sameStep || unplacedSteps >= maxUnplacedSteps) {
+      unplaced.push_back(key);
       continue;
     }
     job& owner = mJobs.at(key.mJob);
@@ -222,21 +225,21 @@
     bool late = aAim == placement_aim::InObjective &&
                 !CanMeetObjective(request, mSlowness.mMin);
     if (late) {
-      left.push_back(key);
+      unplaced.push_back(key);
       continue;
     }
     placement_verdict verdict = PlaceOne(owner, key, request);
     if (verdict == placement_verdict::Place) {
       continue;
     }
-    left.push_back(key);
-    stuck = { key.mJob, key.mStep };
-    stuckSteps++;
+    unplaced.push_back(key);
+    unplacedStep = { key.mJob, key.mStep };
+    unplacedSteps++;
     if (verdict == placement_verdict::Infeasible) {
-      mInfeasible.insert(key.mJob);
+      mInfeasibleJobs.insert(key.mJob);
     }
   }
-  return left;
+  return unplaced;
 }
 
 placement_request
@@ -245,15 +248,15 @@
   const task& one = aJob.mTasks[aKey.mStep][aKey.mIndex];
   placement_request request;
   request.mStep = &aJob.mSubmission.mSteps[aKey.mStep];
-  bool measured = one.mProgressEstimateMs > 0;
+  bool hasProgress = one.mProgressEstimateMs > 0;
   request.mEstimateMs =
-    measured ? one.mProgressEstimateMs : ExpectedMs(aJob, *request.mStep);
-  request.mEstimateSigma = measured ? kProgressSigma : aJob.mRunSigma;
+    hasProgress ? one.mProgressEstimateMs : ExpectedMs(aJob, *request.mStep);
+  request.mEstimateSigma = hasProgress ? kProgressSigma : aJob.mRunSigma;
   request.mService = aJob.mRoute->mService;
   request.mDataCenter = mDataCenter;
   request.mAvoid = one.mAvoid;
   instant until =
-    measured ? aJob.mDeadline : std::min(aJob.mDeadline, aJob.mUsefulUntil);
+    hasProgress ? aJob.mDeadline : std::min(aJob.mDeadline, aJob.mUsefulUntil);
   request.mDeadlineMs = MsBetween(aNow, until);
   request.mObjectiveBaseMs =
     aJob.mRoute->mObjectiveBaseMs - MsBetween(aJob.mFirstSentAt, aNow);
@@ -295,46 +298,47 @@
 void
 job_coordinator::SendDispatches(instant aNow)
 {
-  for (const auto& [place, indexes] : mPendingDispatches) {
-    auto [peer, id, stepNumber, estimateMs] = place;
+  for (const auto& [destination, indexes] : mPendingDispatches) {
+    auto [peer, id, stepNumber, estimateMs] = destination;
     job& owner = mJobs.at(id);
-    executor& at = mExecutors[peer];
+    executor& peerState = mExecutors[peer];
     const job_step& step = owner.mSubmission.mSteps[stepNumber];
-    wire::start_tasks_msg order;
-    order.offer = ++at.mLastDispatchNumber;
-    order.job = id;
-    order.step = stepNumber;
-    order.spec = owner.mSubmission.mSpec;
-    order.cpu_millis = uint32_t(step.mSize.mCpuMillis);
-    order.memory_mb = uint32_t(step.mSize.mMemoryMb);
-    order.gpus = uint32_t(step.mSize.mGpus);
-    order.estimate_ms = estimateMs;
-    order.declared_ms = step.mDeclaredMs;
-    order.urgent_in_ms = int32_t(
+    wire::start_tasks_msg dispatch;
+    dispatch.offer = ++peerState.mLastDispatchNumber;
+    dispatch.job = id;
+    dispatch.step = stepNumber;
+    dispatch.spec = owner.mSubmission.mSpec;
+    dispatch.cpu_millis = uint32_t(step.mSize.mCpuMillis);
+    dispatch.memory_mb = uint32_t(step.mSize.mMemoryMb);
+    dispatch.gpus = uint32_t(step.mSize.mGpus);
+    dispatch.estimate_ms = estimateMs;
+    dispatch.declared_ms = step.mDeclaredMs;
+    dispatch.urgent_in_ms = int32_t(
       ToMs(std::get<0>(WaitingKey(owner, { id, stepNumber, 0 })) - aNow));
-    order.start_within_ms = kStartWithinMs;
-    order.evacuating = EncodeEvacuations(mEvacuations, aNow);
-    order.stop_after_ms =
+    dispatch.start_within_ms = kStartWithinMs;
+    dispatch.evacuating = EncodeEvacuations(mEvacuations, aNow);
+    dispatch.stop_after_ms =
       uint32_t(std::max<int64_t>(0, ToMs(owner.mDeadline - aNow)));
     resources size;
     for (uint32_t index : indexes) {
       owner.mTasks[stepNumber][index].mState = task_state::Placed;
       AddOpenTask(peer, { id, stepNumber, index }, aNow);
-      order.tasks.emplace_back(index, owner.mTasks[stepNumber][index].mAttempt);
+      dispatch.tasks.emplace_back(index,
+                                  owner.mTasks[stepNumber][index].mAttempt);
       size += step.mSize;
     }
-    at.mUnreported[order.offer] = size;
+    peerState.mUnreported[dispatch.offer] = size;
     mCounters.mDispatches++;
     mEvents.Emit(
       event_code::TasksPlaced,
       { { "job", FormatJobId(id) },
-        { "server", mViews[at.mView].mName },
+        { "server", mViews[peerState.mView].mName },
         { "tasks", std::to_string(indexes.size()) },
         { "free_cpu_millis",
-          std::to_string(mViews[at.mView].mFree.mCpuMillis) },
+          std::to_string(mViews[peerState.mView].mFree.mCpuMillis) },
         { "age_ms",
-          std::to_string(ToMs(aNow - mViews[at.mView].mReportedAt)) } });
-    mLinks.Start(peer, std::move(order));
+          std::to_string(ToMs(aNow - mViews[peerState.mView].mReportedAt)) } });
+    mLinks.Start(peer, std::move(dispatch));
   }
   mPendingDispatches.clear();
 }
--- a/cactusmast/testing/sized_job_test.cc
+++ b/cactusmast/testing/sized_job_test.cc
@@ -11,7 +11,7 @@
 using std::chrono::seconds;
 
 void
-CheckNothingBroken(const sized_world& aWorld)
+CheckNoViolations(const sized_world& aWorld)
 {
   for (const std::string& text : aWorld.Violations()) {
     FAIL_CHECK(text);
@@ -29,7 +29,7 @@
   world.Run(seconds(2));
   CHECK(world.CountEnding(job_ending::Completed) == 100);
   CHECK(world.CountInTime(milliseconds(156)) == 100);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("a caller timeout holds if it is longer than the route's timeout")
@@ -42,7 +42,7 @@
   uint64_t job = world.Submit(0, 4, 2000, 8000);
   world.Run(seconds(3));
   CHECK(world.LastOf(job).mEnding == job_ending::Completed);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE(
@@ -60,7 +60,7 @@
   CHECK(world.LastOf(running).mEnding == job_ending::Expired);
   CHECK(world.LastOf(waiting).mEnding == job_ending::Refused);
   CHECK(world.Server(0).Running() == 0);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE(
@@ -76,7 +76,7 @@
   world.Run(seconds(7));
   CHECK(world.LastOf(job).mAnswered);
   CHECK(world.LastOf(job).mEnding == job_ending::Completed);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("tasks of a disconnected entry are stopped before a resubmission")
@@ -93,7 +93,7 @@
   world.At(milliseconds(1300), [&] { world.SubmitAgain(job, 1); });
   world.Run(seconds(7));
   CHECK(world.LastOf(job).mEnding == job_ending::Completed);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("tasks of a killed executor start elsewhere only after the lease")
@@ -110,7 +110,7 @@
   world.KillExecutor(0, seconds(3));
   world.Run(seconds(4));
   CHECK(world.LastOf(job).mEnding == job_ending::Completed);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("a restarted executor stops the tasks that it finds running")
@@ -128,7 +128,7 @@
   }
   world.Run(seconds(3));
   CHECK(world.CountEnding(job_ending::Completed) > 10);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("a task of a paused executor never runs elsewhere at the same time")
@@ -142,7 +142,7 @@
   world.PauseExecutor(0, seconds(2));
   world.Run(seconds(6));
   CHECK(world.LastOf(job).mEnding == job_ending::Completed);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("a paused entry answers overdue jobs as expired when it resumes")
@@ -158,7 +158,7 @@
   CHECK(world.LastOf(job).mAnswered);
   CHECK(world.LastOf(job).mEnding == job_ending::Expired);
   CHECK(world.Server(0).Running() + world.Server(1).Running() == 0);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("requests that are carried out seconds late start no task twice")
@@ -176,7 +176,7 @@
   world.Run(seconds(9));
   CHECK(world.CountEnding(job_ending::Completed) >= 198);
   CHECK(world.CountInTime(milliseconds(156)) >= 150);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("tasks of a crashed backend server are restarted at once")
@@ -194,7 +194,7 @@
   CHECK(world.LastOf(job).mEnding == job_ending::Completed);
   CHECK(world.LastOf(job).mAnsweredAt - world.LastOf(job).mSentAt <
         milliseconds(1800));
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("a backend server that fails every task is quarantined")
@@ -209,7 +209,7 @@
   world.Run(seconds(4));
   CHECK(world.CountEnding(job_ending::Completed) == 100);
   CHECK(world.Server(2).mStarts < 40);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("a draining backend server gets no new tasks")
@@ -228,7 +228,7 @@
   world.Run(seconds(2));
   CHECK(world.Server(0).mStarts == before);
   CHECK(world.CountEnding(job_ending::Completed) == 41);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("draining an executor interrupts no task")
@@ -245,7 +245,7 @@
   world.Run(milliseconds(1400));
   CHECK(world.Executor(0).IsDrained());
   CHECK(world.CountEnding(job_ending::Completed) == 20);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("the tasks of a job are stopped when its caller disconnects")
@@ -258,7 +258,7 @@
   world.HangUp(job);
   world.Run(milliseconds(30));
   CHECK(world.Server(0).Running() == 0);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("a job submitted twice at a time runs once and is answered twice")
@@ -271,7 +271,7 @@
   world.Run(seconds(1));
   CHECK(world.CountEnding(job_ending::Completed) == 2);
   CHECK(world.Server(0).mStarts + world.Server(1).mStarts == 4);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("at twice the capacity, jobs are answered in time or refused at once")
@@ -292,13 +292,14 @@
   CHECK(inTime >= 150);
   CHECK(completed - inTime <= 60);
   size_t slowRefusals = 0;
-  for (const caller_record& one : world.Callers()) {
-    bool refused = one.mAnswered && one.mEnding == job_ending::Refused;
+  for (const caller_record& record : world.Callers()) {
+    bool refused = record.mAnswered && record.mEnding == job_ending::Refused;
     slowRefusals +=
-      refused && one.mAnsweredAt - one.mSentAt > milliseconds(400) ? 1 : 0;
+      refused && record.mAnsweredAt - record.mSentAt > milliseconds(400) ? 1
+                                                                         : 0;
   }
   CHECK(slowRefusals == 0);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("a task that is too slow moves to a faster backend server")
@@ -319,7 +320,7 @@
   uint64_t job = world.Submit(0, 1, 1100, 1500);
   world.Run(seconds(3));
   CHECK(world.LastOf(job).mEnding == job_ending::Completed);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("random failures under load violate no invariant")
@@ -330,50 +331,52 @@
     CAPTURE(seed);
     sized_world world(3, 5, seed);
     std::mt19937 random(seed * 7919);
-    auto pick = [&random](uint32_t aBelow) { return random() % aBelow; };
+    auto randomBelow = [&random](uint32_t aLimit) { return random() % aLimit; };
     for (int i = 0; i < 300; i++) {
-      uint32_t tasks = 1 + pick(8);
-      uint32_t work = pick(4) == 0 ? 900 : 60 + pick(200);
-      world.At(milliseconds(pick(8000)), [&world, i, tasks, work] {
-        world.Submit(size_t(i) % 3, tasks, work);
+      uint32_t tasks = 1 + randomBelow(8);
+      uint32_t runMs = randomBelow(4) == 0 ? 900 : 60 + randomBelow(200);
+      world.At(milliseconds(randomBelow(8000)), [&world, i, tasks, runMs] {
+        world.Submit(size_t(i) % 3, tasks, runMs);
       });
     }
     for (int i = 0; i < 8; i++) {
-      size_t server = pick(5);
-      size_t entry = pick(3);
-      uint32_t kind = pick(7);
-      auto span = milliseconds(50 + pick(2500));
-      world.At(milliseconds(pick(8000)), [&world, server, entry, kind, span] {
-        switch (kind) {
-          case 0:
-            world.KillEntry(entry, span);
-            break;
-          case 1:
-            world.KillExecutor(server, span);
-            break;
-          case 2:
-            world.PauseEntry(entry, span);
-            break;
-          case 3:
-            world.PauseExecutor(server, span);
-            break;
-          case 4:
-            world.Cut(entry, server, span);
-            break;
-          case 5:
-            world.Server(server).mUnansweredShare = 0.08;
-            break;
-          default:
-            world.Server(server).mDown = true;
-            world.Server(server).Crash();
-            world.At(span,
-                     [&world, server] { world.Server(server).mDown = false; });
-            break;
-        }
-      });
+      size_t server = randomBelow(5);
+      size_t entry = randomBelow(3);
+      uint32_t kind = randomBelow(7);
+      auto faultDuration = milliseconds(50 + randomBelow(2500));
+      world.At(milliseconds(randomBelow(8000)),
+               [&world, server, entry, kind, faultDuration] {
+                 switch (kind) {
+                   case 0:
+                     world.KillEntry(entry, faultDuration);
+                     break;
+                   case 1:
+                     world.KillExecutor(server, faultDuration);
+                     break;
+                   case 2:
+                     world.PauseEntry(entry, faultDuration);
+                     break;
+                   case 3:
+                     world.PauseExecutor(server, faultDuration);
+                     break;
+                   case 4:
+                     world.Cut(entry, server, faultDuration);
+                     break;
+                   case 5:
+                     world.Server(server).mUnansweredShare = 0.08;
+                     break;
+                   default:
+                     world.Server(server).mDown = true;
+                     world.Server(server).Crash();
+                     world.At(faultDuration, [&world, server] {
+                       world.Server(server).mDown = false;
+                     });
+                     break;
+                 }
+               });
     }
     world.Run(seconds(13));
-    CheckNothingBroken(world);
+    CheckNoViolations(world);
     if (!world.Violations().empty()) {
       return;
     }
--- a/cactusmast/testing/timeout_model_test.cc
+++ b/cactusmast/testing/timeout_model_test.cc
@@ -32,11 +32,11 @@
 
   job Next()
   {
-    job made;
-    made.mRunMs = 200 * std::exp(mRunSpread(mRandom));
-    made.mDeclaredMs = made.mRunMs * std::exp(mDeclaredError(mRandom));
-    made.mTimeoutMs = mTimeoutBaseMs + mTimeoutPerRunMs * made.mRunMs;
-    return made;
+    job next;
+    next.mRunMs = 200 * std::exp(mRunSpread(mRandom));
+    next.mDeclaredMs = next.mRunMs * std::exp(mDeclaredError(mRandom));
+    next.mTimeoutMs = mTimeoutBaseMs + mTimeoutPerRunMs * next.mRunMs;
+    return next;
   }
 
   double mTimeoutBaseMs = 1600;
@@ -88,9 +88,9 @@
   CHECK(MeanError(model, &generator) > 0.25); // declared run times
   ObserveJobs(&model, &generator, 100);
   CHECK(MeanError(model, &generator) < 0.05);
-  run_forecast one = model.Forecast("r", 100, 2600);
-  CHECK(one.mRunMs == doctest::Approx(200).epsilon(0.05));
-  CHECK(one.mSigma < 0.2);
+  run_forecast forecast = model.Forecast("r", 100, 2600);
+  CHECK(forecast.mRunMs == doctest::Approx(200).epsilon(0.05));
+  CHECK(forecast.mSigma < 0.2);
   CHECK(model.Forecast("other", 100, 2600).mRunMs == 100);
   CHECK(model.Forecast("r", 100, 0).mRunMs == 100);   // no timeout given
   CHECK(model.Forecast("r", 100, 1e9).mRunMs < 2000); // bounded
@@ -110,11 +110,11 @@
       job_generator::job job = generator.Next();
       double timeoutMs = 1500 + spreadMs * double(random() % 1000) / 1000;
       model.Observe("r", job.mDeclaredMs, timeoutMs, job.mRunMs);
-      run_forecast made = model.Forecast("r", job.mDeclaredMs, timeoutMs);
+      run_forecast forecast = model.Forecast("r", job.mDeclaredMs, timeoutMs);
       // A declared run time that is a far outlier may be forecast as shorter.
-      bool likely = made.mRunMs > 0.5 * job.mDeclaredMs;
+      bool likely = forecast.mRunMs > 0.5 * job.mDeclaredMs;
       CHECK(likely);
-      CHECK(made.mElapsedMs == 0);
+      CHECK(forecast.mElapsedMs == 0);
     }
   }
 }
@@ -245,9 +245,10 @@
   world.Run(seconds(12));
   size_t inTime = 0;
   for (const auto& [id, until] : answerBy) {
-    const caller_record& one = world.LastOf(id);
-    bool completed = one.mAnswered && one.mEnding == job_ending::Completed;
-    inTime += completed && one.mAnsweredAt <= until ? 1 : 0;
+    const caller_record& record = world.LastOf(id);
+    bool completed =
+      record.mAnswered && record.mEnding == job_ending::Completed;
+    inTime += completed && record.mAnsweredAt <= until ? 1 : 0;
   }
   MESSAGE("in time ", inTime, " of ", answerBy.size());
   CHECK(inTime * 100 >= answerBy.size() * 93);
--- a/cactusmast/timeout_model.cc
+++ b/cactusmast/timeout_model.cc
@@ -230,10 +230,10 @@
   byWeight.resize(std::min(byWeight.size(), kMaxStoredRegressions));
   wire::wait_lines_msg record;
   for (const auto& [weight, name] : byWeight) {
-    auto one = std::make_unique<wire::wait_line_msg>();
-    one->route = name;
-    one->sums = mRegressions.at(one->route).Sums();
-    record.lines.push_back(std::move(one));
+    auto stored = std::make_unique<wire::wait_line_msg>();
+    stored->route = name;
+    stored->sums = mRegressions.at(stored->route).Sums();
+    record.lines.push_back(std::move(stored));
   }
   std::string bytes;
   EncodeFrame(MakeMessage(std::move(record)), &bytes);
@@ -253,9 +253,9 @@
                     "message does not hold a timeout model");
     }
     std::map<std::string, timeout_regression> decodedRegressions;
-    for (const auto& one : record->lines) {
-      decodedRegressions[one->route] =
-        timeout_regression::FromSums(one->sums).Value();
+    for (const auto& stored : record->lines) {
+      decodedRegressions[stored->route] =
+        timeout_regression::FromSums(stored->sums).Value();
     }
     for (const auto& [name, regression] : decodedRegressions) {
       timeout_regression& own = mRegressions[name];
