--- a/cactusmast/job_coordinator.h
+++ b/cactusmast/job_coordinator.h
@@ -81,8 +81,8 @@
   virtual void Answer(caller_id aCaller, const job_outcome& aOutcome) = 0;
 };
 
-// Sends messages to executors. Any call may close the connection, and then
-// calls job_coordinator::OnExecutorDown before it returns.
+// Sends messages to executors. Sending may close the connection;
+// job_coordinator::OnExecutorDown is then called before the call returns.
 class coordinator_links
 {
 public:
@@ -93,6 +93,7 @@
   virtual void Subscribe(peer_id aExecutor, bool aWanted) = 0;
   // Sends the current evacuations, which have changed.
   virtual void SendEvacuations(peer_id aExecutor) = 0;
+  // Closes the connection without a call of OnExecutorDown.
   virtual void Close(peer_id aExecutor) = 0;
 };
 
