--- a/cactusmast/job_coordinator.cc
+++ b/cactusmast/job_coordinator.cc
@@ -109,17 +109,17 @@
   // A timeout given by the caller holds even if it exceeds the route's timeout.
   // Otherwise tasks that run longer than the route's timeout would be stopped
   // while their callers still wait and their objective has not passed.
-  uint32_t waitMs = aRequest.mCallerTimeoutMs > 0 ? aRequest.mCallerTimeoutMs
-                                                  : jobRoute.mTimeoutMs;
-  admitted.mDeadline = aNow + milliseconds(waitMs) - kAnswerMargin;
-  uint32_t longest = 0;
+  uint32_t timeoutMs = aRequest.mCallerTimeoutMs > 0 ? aRequest.mCallerTimeoutMs
+                                                     : jobRoute.mTimeoutMs;
+  admitted.mDeadline = aNow + milliseconds(timeoutMs) - kAnswerMargin;
+  uint32_t maxDeclaredMs = 0;
   for (const job_step& step : admitted.mSubmission.mSteps) {
-    longest = std::max(longest, step.mDeclaredMs);
+    maxDeclaredMs = std::max(maxDeclaredMs, step.mDeclaredMs);
     admitted.mTasks.emplace_back(step.mCount);
     admitted.mUnfinishedTasks += step.mCount;
   }
   admitted.mCallerTimeoutMs = aRequest.mCallerTimeoutMs;
-  ApplyForecast(admitted, longest, aNow);
+  ApplyForecast(admitted, maxDeclaredMs, aNow);
   mDeadlines.insert({ admitted.mDeadline, admitted.mId });
   for (size_t s = 0; s < admitted.mTasks.size(); s++) {
     for (size_t i = 0; i < admitted.mTasks[s].size(); i++) {
@@ -132,10 +132,11 @@
       { "route", jobRoute.mName },
       { "config_version", std::to_string(admitted.mTable->Config().mVersion) },
       { "tasks", std::to_string(admitted.mUnfinishedTasks) },
-      { "estimate_ms", std::to_string(longest) },
-      { "forecast_ms", std::to_string(int(admitted.mRunTimeFactor * longest)) },
+      { "estimate_ms", std::to_string(maxDeclaredMs) },
+      { "forecast_ms",
+        std::to_string(int(admitted.mRunTimeFactor * maxDeclaredMs)) },
       { "elapsed_ms", std::to_string(ToMs(aNow - admitted.mFirstSentAt)) },
-      { "wait_ms", std::to_string(waitMs) } });
+      { "wait_ms", std::to_string(timeoutMs) } });
   return admitted;
 }
 
@@ -144,9 +145,9 @@
 {
   const route& jobRoute = *aJob.mRoute;
   double declaredMs = std::max<double>(1, aDeclaredMs);
-  bool forecasts = mMechanisms.Has(mechanism::WaitForecasts);
+  bool useForecast = mMechanisms.Has(mechanism::WaitForecasts);
   run_forecast forecast = mTimeoutModel.Forecast(
-    jobRoute.mName, declaredMs, forecasts ? aJob.mCallerTimeoutMs : 0);
+    jobRoute.mName, declaredMs, useForecast ? aJob.mCallerTimeoutMs : 0);
   aJob.mRunTimeFactor = forecast.mRunMs / declaredMs;
   aJob.mRunSigma = forecast.mSigma;
   aJob.mFirstSentAt = AddMs(aNow, -forecast.mElapsedMs);
--- a/cactusmast/job_coordinator_placement.cc
+++ b/cactusmast/job_coordinator_placement.cc
@@ -93,11 +93,11 @@
 job_coordinator::UnplacePartialJobs(const std::vector<task_key>& aUnplaced)
 {
   std::vector<task_key> unplaced = aUnplaced;
-  std::set<uint64_t> seen;
+  std::set<uint64_t> seenJobs;
   std::map<std::string_view, service_capacity> capacities;
   for (const task_key& key : aUnplaced) {
     job& owner = mJobs.at(key.mJob);
-    bool alreadySeen = !seen.insert(key.mJob).second;
+    bool alreadySeen = !seenJobs.insert(key.mJob).second;
     bool partial = !alreadySeen && !IsDispatched(owner) && MayHaveRun(owner);
     if (partial && MayWaitForAll(owner, CapacityFor(owner, &capacities))) {
       Unplace(owner, &unplaced);
@@ -112,13 +112,13 @@
 job_coordinator::MayWaitForAll(const job& aJob,
                                const service_capacity& aCapacity)
 {
-  double emptyMillis = 0;
+  double idleMillis = 0;
   for (const job_step& step : aJob.mSubmission.mSteps) {
-    double others = std::max<double>(0, double(step.mCount) - 1);
-    emptyMillis += others / 2 * double(step.mSize.mCpuMillis);
+    double otherTasks = std::max<double>(0, double(step.mCount) - 1);
+    idleMillis += otherTasks / 2 * double(step.mSize.mCpuMillis);
   }
   return aCapacity.FreeShare() < kScarceFreeShare &&
-         emptyMillis < kMaxIdleShare * double(aCapacity.mTotalMillis);
+         idleMillis < kMaxIdleShare * double(aCapacity.mTotalMillis);
 }
 
 void
--- a/cactusmast/testing/timeout_model_test.cc
+++ b/cactusmast/testing/timeout_model_test.cc
@@ -149,9 +149,9 @@
     job_generator::job job = generator.Next();
     run_forecast first = model.Forecast("r", job.mDeclaredMs, job.mTimeoutMs);
     falsePositives += first.mElapsedMs > 0 ? 1 : 0;
-    run_forecast again =
+    run_forecast resubmission =
       model.Forecast("r", job.mDeclaredMs, job.mTimeoutMs - 1300);
-    resubmitted += again.mElapsedMs > 300 ? 1 : 0;
+    resubmitted += resubmission.mElapsedMs > 300 ? 1 : 0;
   }
   CHECK(resubmitted > 850);
   CHECK(falsePositives < 20);
