--- a/cactusmast/testing/evacuation_test.cc
+++ b/cactusmast/testing/evacuation_test.cc
@@ -1,4 +1,5 @@
-// Data centres that are being evacuated: how it becomes known, and what starts.
+// Tests how evacuations of data centres become known, and which tasks start
+// during them.
 
 #include <doctest/doctest.h>
 
@@ -10,8 +11,8 @@
 
 using std::chrono::seconds;
 
-// Rows "out/NAME"; any value but "?" can be read.
-class plain_codec : public evacuation_codec
+// Reads rows "out/NAME"; any value but "?" is readable.
+class test_codec : public evacuation_codec
 {
 public:
   std::optional<std::string> DataCenterOf(
@@ -26,19 +27,19 @@
   }
 };
 
-// One reader of the store's rows.
-struct reader
+// An evacuation_reader with its codec and event sink.
+struct reader_fixture
 {
   std::string Apply(const std::vector<store_row>& aRows,
                     uint64_t aVersion,
                     bool aWhole)
   {
-    return NamesOf(mRows.Apply({ aRows, aVersion, aWhole }));
+    return NamesOf(mReader.Apply({ aRows, aVersion, aWhole }));
   }
 
-  plain_codec mCodec;
+  test_codec mCodec;
   silent_events mEvents;
-  evacuation_reader mRows{ mCodec, mEvents };
+  evacuation_reader mReader{ mCodec, mEvents };
 };
 
 store_row
@@ -49,14 +50,14 @@
 
 constexpr size_t kServers = 12;
 
-// Callers at all entries for aSpan, well within what two of three data centres
-// can do.
+// Submits jobs at all entries for aSpan, well within the capacity of two of
+// three data centres.
 void
-PlayCallers(sized_world* aWorld, duration aSpan)
+SubmitJobs(sized_world* aWorld, duration aSpan)
 {
-  constexpr duration kBetween = milliseconds(10);
+  constexpr duration kInterval = milliseconds(10);
   size_t number = 0;
-  for (duration at{}; at < aSpan; at += kBetween) {
+  for (duration at{}; at < aSpan; at += kInterval) {
     size_t entry = number++ % aWorld->Entries();
     aWorld->At(at, [aWorld, entry] { aWorld->Submit(entry, 4, 100, 3000); });
   }
@@ -64,7 +65,7 @@
 }
 
 void
-CheckNothingBroken(const sized_world& aWorld)
+CheckNoViolations(const sized_world& aWorld)
 {
   for (const std::string& text : aWorld.Violations()) {
     FAIL_CHECK(text);
@@ -84,43 +85,44 @@
 
 } // namespace
 
-TEST_CASE("rows of evacuations are followed through changes and whole reads")
+TEST_CASE("evacuations follow changes of rows and snapshots of the table")
 {
-  reader one;
-  CHECK(one.Apply({ Row("config"), Row("out/a") }, 5, true) == "a");
-  CHECK(one.Apply({ Row("out/b") }, 6, false) == "a,b");
-  CHECK(one.Apply({ { "out/a", "", true, "" } }, 7, false) == "b");
-  CHECK(one.Apply({}, 8, false) == "b");
-  // Guards against an evacuation whose removal was missed while the store's
-  // history was gone, and which would last for ever.
-  CHECK(one.Apply({ Row("config") }, 9, true) == "");
+  reader_fixture reader;
+  CHECK(reader.Apply({ Row("config"), Row("out/a") }, 5, true) == "a");
+  CHECK(reader.Apply({ Row("out/b") }, 6, false) == "a,b");
+  CHECK(reader.Apply({ { "out/a", "", true, "" } }, 7, false) == "b");
+  CHECK(reader.Apply({}, 8, false) == "b");
+  // Guards against an evacuation that never ends because the deletion of its
+  // row was missed: the store no longer had the history of that time.
+  CHECK(reader.Apply({ Row("config") }, 9, true) == "");
 }
 
-TEST_CASE("a row of an evacuation that cannot be read changes nothing")
+TEST_CASE("an unreadable row does not change the state of its data centre")
 {
-  // Guards against a foreign writer that ends or begins an evacuation.
-  reader one;
-  CHECK(one.Apply({ Row("out/a", "?"), Row("wave/1", "?") }, 5, true) == "");
-  CHECK(one.Apply({ Row("out/a") }, 6, false) == "a");
-  CHECK(one.Apply({ Row("out/a", "?") }, 7, false) == "a");
-  CHECK(one.Apply({ Row("out/a", "?"), Row("out/b", "?") }, 8, true) == "a");
+  // Guards against invalid rows of another writer that begin or end an
+  // evacuation.
+  reader_fixture reader;
+  CHECK(reader.Apply({ Row("out/a", "?"), Row("wave/1", "?") }, 5, true) == "");
+  CHECK(reader.Apply({ Row("out/a") }, 6, false) == "a");
+  CHECK(reader.Apply({ Row("out/a", "?") }, 7, false) == "a");
+  CHECK(reader.Apply({ Row("out/a", "?"), Row("out/b", "?") }, 8, true) == "a");
 }
 
-TEST_CASE("what is known of evacuations never goes back")
+TEST_CASE("a tracker never goes back to an older version")
 {
-  // Guards against an entry that was cut off from the store and tells what held
-  // before.
-  evacuation_tracker record;
-  CHECK(record.Update({ { 10, { "a" } }, seconds(10) }));
-  CHECK(record.Update({ { 12, {} }, seconds(12) }));
-  CHECK(!record.Update({ { 11, { "a" } }, seconds(13) }));
-  CHECK(!record.Has("a"));
-  CHECK(record.Age(seconds(14)) == seconds(2));
-  CHECK(!record.Update({ { 12, {} }, seconds(13) }));
-  CHECK(record.Age(seconds(14)) == seconds(1));
+  // Guards against an entry that is disconnected from the store and sends an
+  // earlier state.
+  evacuation_tracker tracker;
+  CHECK(tracker.Update({ { 10, { "a" } }, seconds(10) }));
+  CHECK(tracker.Update({ { 12, {} }, seconds(12) }));
+  CHECK(!tracker.Update({ { 11, { "a" } }, seconds(13) }));
+  CHECK(!tracker.Has("a"));
+  CHECK(tracker.Age(seconds(14)) == seconds(2));
+  CHECK(!tracker.Update({ { 12, {} }, seconds(13) }));
+  CHECK(tracker.Age(seconds(14)) == seconds(1));
 }
 
-TEST_CASE("a message says what its sender knows and how old that is")
+TEST_CASE("a message carries the state of its sender and its age")
 {
   evacuation_tracker sender;
   CHECK(EncodeEvacuations(sender, seconds(1)) == nullptr);
@@ -131,32 +133,32 @@
   EncodeFrame(MakeMessage(std::move(pulse)), &frame);
   message read = std::move(DecodeFrame(frame, "entry").Value());
   evacuation_tracker receiver;
-  auto news =
+  auto update =
     DecodeEvacuations(read.Asentry_pulse()->evacuating.get(), seconds(20));
-  REQUIRE(news);
-  CHECK(receiver.Update(*news));
+  REQUIRE(update);
+  CHECK(receiver.Update(*update));
   CHECK(NamesOf(receiver.State()) == "a,b");
   CHECK(receiver.Age(seconds(20)) == seconds(3));
   CHECK(!DecodeEvacuations(nullptr, seconds(21)));
 }
 
-TEST_CASE("nothing starts in an evacuated data centre, and no job is lost")
+TEST_CASE("no task starts in an evacuated data centre and no job is lost")
 {
-  // Guards against tasks that are still sent to backend servers which their
-  // operators are about to switch off.
+  // Guards against tasks on backend servers that operators are about to switch
+  // off.
   sized_world world(3, kServers, 1, {}, 3);
   world.At(seconds(1), [&] { world.Evacuate("b"); });
-  PlayCallers(&world, seconds(3));
+  SubmitJobs(&world, seconds(3));
   CHECK(world.CountEnding(job_ending::Completed) == world.Callers().size());
   CHECK(world.CountInTime(milliseconds(220)) >=
         world.Callers().size() * 9 / 10);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
-TEST_CASE("what was ordered and has not begun goes elsewhere at once")
+TEST_CASE("tasks queued in a data centre move elsewhere when it is evacuated")
 {
-  // Guards against jobs that wait in a queue of the evacuated data centre until
-  // their time to start is over.
+  // Guards against tasks that stay queued in the evacuated data centre until
+  // the time within which they have to start is over.
   sized_world world(1, 2, 2, {}, 2);
   world.Submit(0, 20, 300, 3000);
   world.Run(milliseconds(280));
@@ -170,12 +172,12 @@
   CHECK(world.LastOf(queued).mAnsweredAt - world.LastOf(queued).mSentAt <=
         milliseconds(300));
   CHECK(world.Server(1).mStarts == 30);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
-TEST_CASE("what runs in a data centre that is evacuated ends there")
+TEST_CASE("tasks running in a data centre when it is evacuated end there")
 {
-  // Guards against work that is thrown away although it may be finished.
+  // Guards against stopping running tasks, which may end where they are.
   sized_world world(2, 4, 3, {}, 2);
   uint64_t job = world.Submit(0, 40, 800, 5000);
   world.Run(milliseconds(300));
@@ -183,12 +185,13 @@
   world.Run(seconds(2));
   CHECK(world.LastOf(job).mEnding == job_ending::Completed);
   CHECK(StartsIn(world, "a") + StartsIn(world, "b") == 40);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
-TEST_CASE("with everything evacuated jobs are refused at once")
+TEST_CASE("jobs are refused at once while all data centres are evacuated")
 {
-  // Guards against callers that wait for backend servers which cannot come.
+  // Guards against callers that wait although no backend server can run their
+  // job.
   sized_world world(2, 4, 4, {}, 2);
   world.Evacuate("a");
   world.Evacuate("b");
@@ -202,17 +205,17 @@
   uint64_t later = world.Submit(1, 2, 100);
   world.Run(seconds(1));
   CHECK(world.LastOf(later).mEnding == job_ending::Completed);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
-TEST_CASE("a data centre that was taken back gets work again, without a rush")
+TEST_CASE("a data centre gets tasks again after its evacuation, without a rush")
 {
-  // Guards against room that stays unused, and against entries that all send to
-  // the same empty backend servers.
+  // Guards against free capacity that stays unused, and against entries that
+  // all dispatch to the same idle backend servers.
   sized_world world(6, kServers, 5, {}, 3);
   world.Evacuate("c");
   world.At(seconds(1), [&] { world.TakeBack("c"); });
-  PlayCallers(&world, seconds(3));
+  SubmitJobs(&world, seconds(3));
   CHECK(StartsIn(world, "c") > 100);
   CHECK(world.CountEnding(job_ending::Completed) == world.Callers().size());
   uint64_t attempts = 0;
@@ -222,13 +225,13 @@
     bounced += world.Coordinator(i).Counters().mBounced;
   }
   CHECK(bounced * 20 < attempts);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
-TEST_CASE("an executor that restarts knows of the evacuation before it starts")
+TEST_CASE("a restarted executor knows of an evacuation before it starts tasks")
 {
-  // Guards against a fresh process that takes orders of entries as if nothing
-  // were evacuated, and against one that has learned it and forgets.
+  // Guards against a restarted executor that starts dispatched tasks before it
+  // knows of the evacuation, and against one that loses the state.
   sized_world world(2, 6, 6, {}, 3);
   world.Evacuate("a");
   world.At(milliseconds(1500),
@@ -236,14 +239,14 @@
   world.At(milliseconds(1500), [&] { world.KillEntry(0, milliseconds(300)); });
   world.At(milliseconds(1900),
            [&] { world.KillExecutor(3, milliseconds(200)); });
-  PlayCallers(&world, seconds(3));
-  CheckNothingBroken(world);
+  SubmitJobs(&world, seconds(3));
+  CheckNoViolations(world);
 }
 
-TEST_CASE("an evacuation holds through a loss of everything and of the store")
+TEST_CASE("an evacuation holds when all processes and the store are lost")
 {
-  // Guards against processes that come back while the store is away, know
-  // nothing, and begin to serve as if nothing were evacuated.
+  // Guards against processes that restart while the store is unreachable and
+  // start tasks although they know of no evacuation state.
   sized_world world(2, 6, 7, {}, 3);
   world.RefuseUntilStoreIsHeard();
   world.Evacuate("a");
@@ -256,42 +259,43 @@
   }
   world.StopStore(seconds(2));
   world.Run(milliseconds(600));
-  PlayCallers(&world, seconds(3));
+  SubmitJobs(&world, seconds(3));
   CHECK(world.CountEnding(job_ending::Refused) > 50);
   CHECK(world.CountEnding(job_ending::Completed) > 100);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
-TEST_CASE("entries cut off from the store learn of evacuations from others")
+TEST_CASE("entries without the store get evacuations from other processes")
 {
-  // Guards against an entry that goes on placing by what it knew before.
+  // Guards against an entry that goes on placing tasks by an outdated state.
   sized_world world(3, kServers, 8, {}, 3);
   world.CutFromStore(0, seconds(20));
   world.CutFromStore(1, seconds(20));
   world.At(seconds(1), [&] { world.Evacuate("b"); });
-  PlayCallers(&world, seconds(3));
+  SubmitJobs(&world, seconds(3));
   CHECK(world.CountEnding(job_ending::Completed) == world.Callers().size());
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
-TEST_CASE("executors ask the store when all entries are cut off from it")
+TEST_CASE("executors read the store when no entry can reach it")
 {
-  // Guards against entries that only believe old news, with executors beside
-  // backend servers that are being evacuated and reach the store.
-  constexpr duration kBound = seconds(5);
+  // Guards against executors that rely on the outdated state of entries
+  // although they can reach the store themselves.
+  constexpr duration kMaxStateAge = seconds(5);
   sized_world world(1, 6, 9, {}, 3);
-  world.SetEvacuationBound(kBound);
+  world.SetEvacuationBound(kMaxStateAge);
   world.Run(seconds(1));
   world.CutFromStore(0, seconds(30));
   world.At(seconds(1), [&] { world.Evacuate("b"); });
-  PlayCallers(&world, seconds(9));
+  SubmitJobs(&world, seconds(9));
   CHECK(world.CountEnding(job_ending::Completed) == world.Callers().size());
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
-TEST_CASE("an evacuation during an outage of the store counts once it is back")
+TEST_CASE("an evacuation during an outage of the store holds once it is back")
 {
-  // Guards against watchers that go on from where they stood.
+  // Guards against a change that is missed because it was made during the
+  // outage.
   sized_world world(2, kServers, 10, {}, 3);
   world.SetEvacuationBound(seconds(4));
   world.At(seconds(1), [&] {
@@ -299,17 +303,17 @@
     world.Evacuate("b");
   });
   world.At(milliseconds(1500), [&] { world.KillEntry(1, milliseconds(400)); });
-  PlayCallers(&world, seconds(6));
-  CheckNothingBroken(world);
+  SubmitJobs(&world, seconds(6));
+  CheckNoViolations(world);
 }
 
-TEST_CASE("an evacuation counts within a second at full load, large fleets too")
+TEST_CASE("an evacuation holds within a second at high load in a large fleet")
 {
-  // Guards against news that waits behind orders and reports.
+  // Guards against updates that are delayed behind dispatches and reports.
   sized_world world(35, 160, 11, {}, 6);
   world.At(milliseconds(500), [&] { world.Evacuate("d"); });
-  // Three jobs of .4 s of work each ms, where 133 backend servers of ten tasks
-  // are left: nine tenths of their room.
+  // Three jobs of 0.4 s of work per ms, for the 133 backend servers of ten
+  // tasks each that are left: nine tenths of their capacity.
   for (int i = 0; i < 6000; i++) {
     world.At(milliseconds(i / 3), [&world, i] {
       world.Submit(size_t(i) % world.Entries(), 4, 100, 3000);
@@ -317,17 +321,16 @@
   }
   world.Run(seconds(5));
   CHECK(world.CountEnding(job_ending::Completed) >= 5400);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
-TEST_CASE("executors leave the store alone while entries hear from it")
+TEST_CASE("executors do not read the store while entries can reach it")
 {
-  // Guards against a call for each executor and second at a store that all
-  // share.
+  // Guards against a request per executor and second to the shared store.
   sized_world world(2, 6, 12, {}, 3);
-  PlayCallers(&world, seconds(6));
+  SubmitJobs(&world, seconds(6));
   CHECK(world.StoreAsks() == 0);
-  CheckNothingBroken(world);
+  CheckNoViolations(world);
 }
 
 } // namespace cactusmast::testing
--- a/cactusmast/testing/executor_subset_test.cc
+++ b/cactusmast/testing/executor_subset_test.cc
@@ -1,5 +1,5 @@
-// Which executors entries take into their subsets, and how the size follows
-// the room.
+// Tests which executors entries take into their subsets, and how the size of a
+// subset follows its free capacity.
 
 #include <doctest/doctest.h>
 
@@ -13,8 +13,8 @@
 
 using std::chrono::seconds;
 
-constexpr double kMuchRoom = 0.7;
-constexpr double kLittleRoom = 0.05;
+constexpr double kAmpleFreeShare = 0.7;
+constexpr double kScarceFreeShare = 0.05;
 
 std::string
 ExecutorName(peer_id aPeer)
@@ -24,15 +24,15 @@
 
 // A subset with executors 1 to aCount, all ready, spread over aDataCenters.
 executor_subset
-MakeSubset(const std::string& aOwner, size_t aCount, size_t aDataCenters)
+MakeSubset(const std::string& aEntryName, size_t aCount, size_t aDataCenters)
 {
-  executor_subset made(aOwner, "dc-0");
+  executor_subset subset(aEntryName, "dc-0");
   for (peer_id peer = 1; peer <= aCount; peer++) {
-    std::string place = "dc-" + std::to_string(peer % aDataCenters);
-    made.Add(peer, ExecutorName(peer), place);
-    made.SetUsable(peer, true);
+    std::string dataCenter = "dc-" + std::to_string(peer % aDataCenters);
+    subset.Add(peer, ExecutorName(peer), dataCenter);
+    subset.SetUsable(peer, true);
   }
-  return made;
+  return subset;
 }
 
 std::set<peer_id>
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("a small fleet is in every entry's subset whole")
+TEST_CASE("a fleet smaller than a subset is in it completely")
 {
   executor_subset subset = MakeSubset("entry", 11, 4);
   CHECK(subset.Update().mJoined.size() == 11);
@@ -62,12 +62,12 @@
   subset.Update();
   std::set<peer_id> members = Members(subset, 160);
   CHECK(members.size() == kMinSubsetSize);
-  for (peer_id near = 8; near <= 160; near += 8) {
-    CHECK(members.count(near) == 1);
+  for (peer_id nearPeer = 8; nearPeer <= 160; nearPeer += 8) {
+    CHECK(members.count(nearPeer) == 1);
   }
 }
 
-TEST_CASE("subsets of many entries cover the fleet evenly")
+TEST_CASE("the subsets of many entries cover the fleet evenly")
 {
   std::map<peer_id, size_t> uses;
   constexpr size_t kEntries = 40;
@@ -86,7 +86,7 @@
   }
 }
 
-TEST_CASE("a member that is lost is replaced by one other")
+TEST_CASE("a lost member is replaced by exactly one executor")
 {
   executor_subset subset = MakeSubset("entry", 100, 1);
   subset.Update();
@@ -98,31 +98,31 @@
   CHECK(Members(subset, 100).size() == kMinSubsetSize);
 }
 
-TEST_CASE("a member that cannot take tasks makes room for another")
+TEST_CASE("a member that becomes unusable is replaced by another executor")
 {
   executor_subset subset = MakeSubset("entry", 100, 1);
   subset.Update();
-  peer_id ill = *Members(subset, 100).begin();
-  subset.SetUsable(ill, false);
+  peer_id unusable = *Members(subset, 100).begin();
+  subset.SetUsable(unusable, false);
   executor_subset::change change = subset.Update();
-  CHECK(change.mLeft == std::vector<peer_id>{ ill });
+  CHECK(change.mLeft == std::vector<peer_id>{ unusable });
   CHECK(change.mJoined.size() == 1);
 }
 
-TEST_CASE("a subset is widened while its room is short, up to a limit")
+TEST_CASE("a subset grows while its free capacity is scarce, up to the maximum")
 {
   executor_subset subset = MakeSubset("entry", 500, 1);
   instant now = seconds(1);
   subset.Update();
   for (int i = 0; i < 100; i++) {
     now += milliseconds(20);
-    subset.AdjustSize(kLittleRoom, false, now);
+    subset.AdjustSize(kScarceFreeShare, false, now);
     subset.Update();
   }
   CHECK(Members(subset, 500).size() == kMaxSubsetSize);
 }
 
-TEST_CASE("a subset that is still being filled is not widened for want of room")
+TEST_CASE("a subset with fewer members than its size does not grow")
 {
   executor_subset subset = MakeSubset("entry", 0, 1);
   instant now = seconds(1);
@@ -136,23 +136,23 @@
   CHECK(subset.Size() == kMinSubsetSize);
 }
 
-TEST_CASE("a subset is narrowed only after seconds of plenty")
+TEST_CASE("a subset shrinks only after seconds of ample free capacity")
 {
   executor_subset subset = MakeSubset("entry", 500, 1);
   subset.Update();
   instant now = seconds(1);
-  subset.AdjustSize(kLittleRoom, false, now);
-  size_t wide = subset.Size();
-  CHECK(wide > kMinSubsetSize);
-  subset.AdjustSize(kMuchRoom, false, now + seconds(2));
-  CHECK(subset.Size() == wide);
+  subset.AdjustSize(kScarceFreeShare, false, now);
+  size_t grownSize = subset.Size();
+  CHECK(grownSize > kMinSubsetSize);
+  subset.AdjustSize(kAmpleFreeShare, false, now + seconds(2));
+  CHECK(subset.Size() == grownSize);
   for (int i = 0; i < 60; i++) {
-    subset.AdjustSize(kMuchRoom, false, now + seconds(6 + i));
+    subset.AdjustSize(kAmpleFreeShare, false, now + seconds(6 + i));
   }
   CHECK(subset.Size() == kMinSubsetSize);
 }
 
-TEST_CASE("random changes: members are the first usable ones in the order")
+TEST_CASE("after random changes the members are usable and as many as intended")
 {
   std::mt19937 random(7);
   constexpr size_t kExecutors = 120;
@@ -163,7 +163,7 @@
 
     usable.insert(peer);
   }
-  std::set<peer_id> told;
+  std::set<peer_id> reported;
   for (int step = 0; step < 2000; step++) {
     peer_id peer = 1 + random() % kExecutors;
     bool isUsable = random() % 3 > 0;
@@ -171,23 +171,23 @@
     isUsable ? (void)usable.insert(peer) : (void)usable.erase(peer);
     executor_subset::change change = subset.Update();
     for (peer_id left : change.mLeft) {
-      REQUIRE(told.erase(left) == 1);
+      REQUIRE(reported.erase(left) == 1);
     }
     for (peer_id joined : change.mJoined) {
-      REQUIRE(told.insert(joined).second);
+      REQUIRE(reported.insert(joined).second);
     }
     std::set<peer_id> members = Members(subset, kExecutors);
-    REQUIRE(told == members);
+    REQUIRE(reported == members);
     REQUIRE(members.size() == std::min(usable.size(), kMinSubsetSize));
     REQUIRE(std::includes(
       usable.begin(), usable.end(), members.begin(), members.end()));
   }
 }
 
-TEST_CASE("a subset whose executors all go is replaced, and no job fails")
+TEST_CASE("a subset whose executors are all lost is replaced and no job fails")
 {
-  // Guards against an entry that refuses while executors outside its subset
-  // have room.
+  // Guards against an entry that refuses jobs while executors outside its
+  // subset have free capacity.
   constexpr size_t kServers = 60;
   sized_world world(1, kServers, 70);
   world.Run(milliseconds(200));
@@ -206,10 +206,10 @@
   CHECK(world.Violations().empty());
 }
 
-TEST_CASE("more work than a subset holds reaches executors outside it")
+TEST_CASE("work beyond the capacity of a subset reaches executors outside it")
 {
-  // Guards against an entry that gets most of the callers and leaves the
-  // backend servers of the others idle.
+  // Guards against idle backend servers while one entry gets most of the
+  // callers and its subset is full.
   constexpr size_t kServers = 60;
   sized_world world(1, kServers, 71);
   world.Run(milliseconds(200));
@@ -222,10 +222,11 @@
   CHECK(world.Violations().empty());
 }
 
-TEST_CASE("the quiet after a job is not taken for the loss of its executors")
+TEST_CASE(
+  "an idle connection after a job is not taken for the loss of its executor")
 {
-  // Guards against connections that are dropped for want of messages that
-  // nobody has to send, and with them the tasks of the next job.
+  // Guards against closing an idle connection because no messages arrive that
+  // nobody has to send; the tasks of the next job would be lost with it.
   sized_world world(2, 4, 73);
   world.Submit(0, 4, 60);
   world.Run(seconds(2));
@@ -233,10 +234,11 @@
   CHECK(world.CountEnding(job_ending::Completed) == 1);
 }
 
-TEST_CASE("an executor that vanished while idle costs its first tasks a second")
+TEST_CASE("tasks dispatched over an idle connection that is lost run elsewhere")
 {
-  // Guards against orders into a connection that is dead: nothing is expected
-  // over a quiet one, so the order itself has to show it.
+  // Guards against dispatches over a dead connection. No reports are due over
+  // an idle one, so only the missing reply to the dispatch shows that it is
+  // dead.
   sized_world world(1, 2, 72);
   world.Run(seconds(2));
   world.Cut(0, 0, seconds(20));
--- a/cactusmast/testing/timeout_model_test.cc
+++ b/cactusmast/testing/timeout_model_test.cc
@@ -1,5 +1,5 @@
-// What the wait of callers says about run times and about jobs that are sent
-// again, and what that gains them.
+// Tests forecasts of run times from caller timeouts, the detection of
+// resubmitted jobs, and their effect on placement.
 
 #include <cmath>
 #include <doctest/doctest.h>
@@ -14,11 +14,11 @@
 
 using std::chrono::seconds;
 
-// Callers of one kind of job.
-class caller_model
+// Generates jobs of callers whose timeout depends on the run time.
+class job_generator
 {
 public:
-  explicit caller_model(uint32_t aSeed)
+  explicit job_generator(uint32_t aSeed)
     : mRandom(aSeed)
   {
   }
@@ -27,20 +27,20 @@
   {
     double mRunMs = 0;
     double mDeclaredMs = 0;
-    double mWaitMs = 0;
+    double mTimeoutMs = 0;
   };
 
   job Next()
   {
-    job made;
-    made.mRunMs = 200 * std::exp(mRunSpread(mRandom));
-    made.mDeclaredMs = made.mRunMs * std::exp(mDeclaredError(mRandom));
-    made.mWaitMs = mWaitBaseMs + mWaitPerRunMs * made.mRunMs;
-    return made;
+    job next;
+    next.mRunMs = 200 * std::exp(mRunSpread(mRandom));
+    next.mDeclaredMs = next.mRunMs * std::exp(mDeclaredError(mRandom));
+    next.mTimeoutMs = mTimeoutBaseMs + mTimeoutPerRunMs * next.mRunMs;
+    return next;
   }
 
-  double mWaitBaseMs = 1600;
-  double mWaitPerRunMs = 5;
+  double mTimeoutBaseMs = 1600;
+  double mTimeoutPerRunMs = 5;
 
 private:
   std::mt19937 mRandom;
@@ -48,31 +48,31 @@
   std::normal_distribution<> mDeclaredError{ 0, 0.4 };
 };
 
-// As the world's route has it.
+// The objective by the route of sized_world.
 duration
-ObjectiveOf(const caller_model::job& aJob)
+ObjectiveOf(const job_generator::job& aJob)
 {
   return milliseconds(int64_t(1.6 * aJob.mRunMs + 60));
 }
 
 void
-Teach(timeout_model* aModel, caller_model* aCallers, int aJobs)
+ObserveJobs(timeout_model* aModel, job_generator* aGenerator, int aJobs)
 {
   for (int i = 0; i < aJobs; i++) {
-    caller_model::job job = aCallers->Next();
-    aModel->Observe("r", job.mDeclaredMs, job.mWaitMs, job.mRunMs);
+    job_generator::job job = aGenerator->Next();
+    aModel->Observe("r", job.mDeclaredMs, job.mTimeoutMs, job.mRunMs);
   }
 }
 
-// Mean of the absolute logarithm of forecast over run time, for new jobs.
+// Mean absolute logarithm of forecast over run time for new jobs.
 double
-MeanError(const timeout_model& aModel, caller_model* aCallers)
+MeanError(const timeout_model& aModel, job_generator* aGenerator)
 {
   double sum = 0;
   for (int i = 0; i < 500; i++) {
-    caller_model::job job = aCallers->Next();
+    job_generator::job job = aGenerator->Next();
     double forecastMs =
-      aModel.Forecast("r", job.mDeclaredMs, job.mWaitMs).mRunMs;
+      aModel.Forecast("r", job.mDeclaredMs, job.mTimeoutMs).mRunMs;
     sum += std::abs(std::log(forecastMs / job.mRunMs));
   }
   return sum / 500;
@@ -80,87 +80,88 @@
 
 } // namespace
 
-TEST_CASE("waits forecast run times better than what callers declare")
+TEST_CASE(
+  "caller timeouts forecast run times better than declared run times do")
 {
-  caller_model callers(1);
+  job_generator generator(1);
   timeout_model model;
-  CHECK(MeanError(model, &callers) > 0.25); // as declared
-  Teach(&model, &callers, 100);
-  CHECK(MeanError(model, &callers) < 0.05);
-  run_forecast one = model.Forecast("r", 100, 2600);
-  CHECK(one.mRunMs == doctest::Approx(200).epsilon(0.05));
-  CHECK(one.mSigma < 0.2);
+  CHECK(MeanError(model, &generator) > 0.25); // declared run times
+  ObserveJobs(&model, &generator, 100);
+  CHECK(MeanError(model, &generator) < 0.05);
+  run_forecast forecast = model.Forecast("r", 100, 2600);
+  CHECK(forecast.mRunMs == doctest::Approx(200).epsilon(0.05));
+  CHECK(forecast.mSigma < 0.2);
   CHECK(model.Forecast("other", 100, 2600).mRunMs == 100);
-  CHECK(model.Forecast("r", 100, 0).mRunMs == 100);   // it does not say
-  CHECK(model.Forecast("r", 100, 1e9).mRunMs < 2000); // it waits for ever
+  CHECK(model.Forecast("r", 100, 0).mRunMs == 100);   // no timeout given
+  CHECK(model.Forecast("r", 100, 1e9).mRunMs < 2000); // bounded
 }
 
-TEST_CASE("waits that say nothing leave declared run times in force")
+TEST_CASE("timeouts unrelated to run times leave declared run times in use")
 {
-  // All callers of a route wait for the same time, or for one that has nothing
-  // to do with their work. A line through that would give every job the same
-  // run time, and the long ones would be placed where they end too late.
+  // All callers of a route have the same timeout, or timeouts that are
+  // unrelated to run times. A regression over them would forecast the same run
+  // time for every job, and long ones would be placed where they end too late.
   std::mt19937 random(2);
   for (double spreadMs : { 0.0, 400.0 }) {
     CAPTURE(spreadMs);
-    caller_model callers(3);
+    job_generator generator(3);
     timeout_model model;
     for (int i = 0; i < 300; i++) {
-      caller_model::job job = callers.Next();
-      double waitMs = 1500 + spreadMs * double(random() % 1000) / 1000;
-      model.Observe("r", job.mDeclaredMs, waitMs, job.mRunMs);
-      run_forecast made = model.Forecast("r", job.mDeclaredMs, waitMs);
-      // Far outliers of what is declared may be told from the middle.
-      bool likely = made.mRunMs > 0.5 * job.mDeclaredMs;
+      job_generator::job job = generator.Next();
+      double timeoutMs = 1500 + spreadMs * double(random() % 1000) / 1000;
+      model.Observe("r", job.mDeclaredMs, timeoutMs, job.mRunMs);
+      run_forecast forecast = model.Forecast("r", job.mDeclaredMs, timeoutMs);
+      // A declared run time that is a far outlier may be forecast as shorter.
+      bool likely = forecast.mRunMs > 0.5 * job.mDeclaredMs;
       CHECK(likely);
-      CHECK(made.mElapsedMs == 0);
+      CHECK(forecast.mElapsedMs == 0);
     }
   }
 }
 
-TEST_CASE("a route whose callers change how long they wait is learned anew")
+TEST_CASE("a route whose callers change their timeouts is fitted anew")
 {
-  caller_model callers(4);
+  job_generator generator(4);
   timeout_model model;
-  Teach(&model, &callers, 400);
-  callers.mWaitBaseMs = 3000;
-  callers.mWaitPerRunMs = 2;
-  Teach(&model, &callers, 1000);
-  CHECK(MeanError(model, &callers) < 0.15);
+  ObserveJobs(&model, &generator, 400);
+  generator.mTimeoutBaseMs = 3000;
+  generator.mTimeoutPerRunMs = 2;
+  ObserveJobs(&model, &generator, 1000);
+  CHECK(MeanError(model, &generator) < 0.15);
 
-  // All wait much less than before and look like callers that return.
-  callers.mWaitBaseMs = 300;
-  Teach(&model, &callers, 1000);
-  CHECK(MeanError(model, &callers) < 0.15);
+  // All timeouts become much shorter, so that all jobs look resubmitted.
+  generator.mTimeoutBaseMs = 300;
+  ObserveJobs(&model, &generator, 1000);
+  CHECK(MeanError(model, &generator) < 0.15);
 }
 
-TEST_CASE("a job that is sent again is told from a short one")
+TEST_CASE("a resubmitted job is not taken for a job with a short run time")
 {
-  // A caller lost its connection and sends its job again 1.3 s later, with
-  // what is left of its time. If its short wait counted as little work, it
-  // would get the place of a job that can still be in time.
-  caller_model callers(5);
+  // A caller loses its connection and resubmits its job 1.3 s later with the
+  // rest of its timeout. If this short timeout were taken for a short run time,
+  // the job would take the place of one that can still meet its objective.
+  job_generator generator(5);
   timeout_model model;
-  Teach(&model, &callers, 300);
-  int returned = 0;
-  int mistaken = 0;
+  ObserveJobs(&model, &generator, 300);
+  int resubmitted = 0;
+  int falsePositives = 0;
   for (int i = 0; i < 1000; i++) {
-    caller_model::job job = callers.Next();
-    run_forecast first = model.Forecast("r", job.mDeclaredMs, job.mWaitMs);
-    mistaken += first.mElapsedMs > 0 ? 1 : 0;
-    run_forecast again =
-      model.Forecast("r", job.mDeclaredMs, job.mWaitMs - 1300);
-    returned += again.mElapsedMs > 300 ? 1 : 0;
+    job_generator::job job = generator.Next();
+    run_forecast first = model.Forecast("r", job.mDeclaredMs, job.mTimeoutMs);
+    falsePositives += first.mElapsedMs > 0 ? 1 : 0;
+    run_forecast resubmission =
+      model.Forecast("r", job.mDeclaredMs, job.mTimeoutMs - 1300);
+    resubmitted += resubmission.mElapsedMs > 300 ? 1 : 0;
   }
-  CHECK(returned > 850);
-  CHECK(mistaken < 20);
+  CHECK(resubmitted > 850);
+  CHECK(falsePositives < 20);
 }
 
-TEST_CASE("lines survive storage, and what was seen more often stays")
+TEST_CASE("regressions can be stored and restored, and the greater weight wins")
 {
-  caller_model callers(6);
+  job_generator generator(6);
   timeout_model model;
-  Teach(&model, &callers, 200);
+  ObserveJobs(&model, &generator, 200);
   std::string bytes = model.Encode();
 
   timeout_model restarted;
@@ -168,14 +169,15 @@
   CHECK(restarted.Forecast("r", 50, 2600).mRunMs ==
         doctest::Approx(model.Forecast("r", 50, 2600).mRunMs));
 
-  timeout_model young;
-  Teach(&young, &callers, 20);
-  std::string less = young.Encode();
+  timeout_model lightModel;
+  ObserveJobs(&lightModel, &generator, 20);
+  std::string lightBytes = lightModel.Encode();
   double before = model.Forecast("r", 50, 2600).mRunMs;
-  CHECK(model.Merge(less).Ok());
+  CHECK(model.Merge(lightBytes).Ok());
   CHECK(model.Forecast("r", 50, 2600).mRunMs == before);
 
-  // Routes that are gone take no space, and a great many do not fill a row.
+  // Routes that no longer exist take no space, and very many routes do not
+  // exceed the size of a row.
   model.KeepOnly({ "other" });
   CHECK(model.Forecast("r", 50, 2600).mRunMs == 50);
   for (int i = 0; i < 2000; i++) {
@@ -190,48 +192,48 @@
       .Ok());
 }
 
-TEST_CASE("callers that return after an outage do not make new ones late")
+TEST_CASE("resubmitted jobs after an outage do not make new jobs late")
 {
-  // The only entry loses power for a second at 60% load. All who were cut off
-  // or found nobody come back with what is left of their time, together with
-  // those who come as ever: for a second there is more work than room. The
-  // objective of most who return is over. If they were served as if they were
-  // new, a class of learners who come just then would wait at the door too.
+  // The only entry is down for a second at 60% load. Callers that lost their
+  // connection or could not connect resubmit with the rest of their timeout
+  // while new jobs arrive as before, so that for a second there is more work
+  // than capacity. The objective of most resubmitted jobs has passed. If they
+  // were placed like new ones, the new ones would be late too.
   sized_world world(1, 4, 41);
   world.CountDownWaits();
-  caller_model callers(7);
-  // By job, when it has to be answered.
-  std::map<uint64_t, instant> fresh;
-  auto submit = [&world, &callers, &fresh](bool aCounts) {
-    caller_model::job job = callers.Next();
+  job_generator generator(7);
+  // When each new job has to be answered.
+  std::map<uint64_t, instant> answerBy;
+  auto submit = [&world, &generator, &answerBy](bool aIsNew) {
+    job_generator::job job = generator.Next();
     uint64_t id = world.Submit(0,
                                2,
                                uint32_t(job.mRunMs),
-                               uint32_t(job.mWaitMs),
+                               uint32_t(job.mTimeoutMs),
                                uint32_t(job.mDeclaredMs));
-    if (aCounts) {
-      fresh[id] = world.Now() + ObjectiveOf(job);
+    if (aIsNew) {
+      answerBy[id] = world.Now() + ObjectiveOf(job);
     }
     return id;
   };
   constexpr auto kInterval = milliseconds(17);
-  constexpr auto kOutage = seconds(5);
-  constexpr auto kBack = kOutage + seconds(1);
-  std::string kept;
-  world.At(kOutage - milliseconds(1), [&] {
-    kept = world.Coordinator(0).TimeoutModel().Encode();
+  constexpr auto kOutageStart = seconds(5);
+  constexpr auto kRestart = kOutageStart + seconds(1);
+  std::string stored;
+  world.At(kOutageStart - milliseconds(1), [&] {
+    stored = world.Coordinator(0).TimeoutModel().Encode();
     world.KillEntry(0, seconds(1));
   });
-  world.At(kBack + milliseconds(1), [&] {
-    REQUIRE(world.Coordinator(0).TimeoutModel().Merge(kept).Ok());
+  world.At(kRestart + milliseconds(1), [&] {
+    REQUIRE(world.Coordinator(0).TimeoutModel().Merge(stored).Ok());
   });
   for (duration at{ 0 }; at < seconds(8); at += kInterval) {
-    bool down = at >= kOutage && at < kBack + milliseconds(2);
-    bool counts = at >= kBack + milliseconds(300);
-    world.At(at, [&world, &submit, down, counts] {
-      uint64_t id = submit(counts);
+    bool down = at >= kOutageStart && at < kRestart + milliseconds(2);
+    bool isNew = at >= kRestart + milliseconds(300);
+    world.At(at, [&world, &submit, down, isNew] {
+      uint64_t id = submit(isNew);
       if (down) {
-        // Who came just as the entry was back has its answer and stays away.
+        // A job sent just as the entry came back already has its answer.
         world.At(milliseconds(1300), [&world, id] {
           if (!world.LastOf(id).mAnswered) {
             world.SubmitAgain(id, 0);
@@ -242,13 +244,14 @@
   }
   world.Run(seconds(12));
   size_t inTime = 0;
-  for (const auto& [id, until] : fresh) {
-    const caller_record& one = world.LastOf(id);
-    bool completed = one.mAnswered && one.mEnding == job_ending::Completed;
-    inTime += completed && one.mAnsweredAt <= until ? 1 : 0;
+  for (const auto& [id, until] : answerBy) {
+    const caller_record& record = world.LastOf(id);
+    bool completed =
+      record.mAnswered && record.mEnding == job_ending::Completed;
+    inTime += completed && record.mAnsweredAt <= until ? 1 : 0;
   }
-  MESSAGE("in time ", inTime, " of ", fresh.size());
-  CHECK(inTime * 100 >= fresh.size() * 93);
+  MESSAGE("in time ", inTime, " of ", answerBy.size());
+  CHECK(inTime * 100 >= answerBy.size() * 93);
   for (const std::string& text : world.Violations()) {
     FAIL_CHECK(text);
   }
