--- a/cactusmast/backend_runner.h
+++ b/cactusmast/backend_runner.h
@@ -124,9 +124,9 @@
   virtual ~backend_runner() = default;
   // The answers arrive through the executor's OnStartReply, OnStopReply and
   // OnPollReply, each exactly once.
-  virtual void Start(const start_request& aOrder) = 0;
-  virtual void Stop(const stop_request& aOrder) = 0;
-  virtual void Poll(const poll_request& aOrder) = 0;
+  virtual void Start(const start_request& aRequest) = 0;
+  virtual void Stop(const stop_request& aRequest) = 0;
+  virtual void Poll(const poll_request& aRequest) = 0;
   // Names the life of the backend server that later orders are meant for.
   virtual void ExpectInstance(const std::string& aServerId) = 0;
 };
--- a/cactusmast/task_executor.cc
+++ b/cactusmast/task_executor.cc
@@ -13,10 +13,10 @@
 namespace {
 
 wire::task_end
-EndOf(const task_key& aKey,
-      uint32_t aAttempt,
-      uint32_t aRunMs,
-      attempt_outcome aOutcome)
+MakeTaskEnd(const task_key& aKey,
+            uint32_t aAttempt,
+            uint32_t aRunMs,
+            attempt_outcome aOutcome)
 {
   return { uint32_t(aKey.mJob >> 32),
            uint32_t(aKey.mJob),
@@ -29,14 +29,14 @@
 
 } // namespace
 
-task_executor::task_executor(uint64_t aFence,
+task_executor::task_executor(uint64_t aFencingToken,
                              std::string aService,
                              std::string aDataCenter,
                              executor_links& aLinks,
                              backend_runner& aRunner,
                              event_sink& aEvents,
                              const mechanism_set& aMechanisms)
-  : mFencingToken(aFence)
+  : mFencingToken(aFencingToken)
   , mService(std::move(aService))
   , mDataCenter(std::move(aDataCenter))
   , mLinks(aLinks)
@@ -62,15 +62,15 @@
   }
   std::vector<task_key> queued;
   size_t stopped = 0;
-  for (auto& [key, one] : mTasks) {
-    if (one.mOwner != aEntry) {
+  for (auto& [key, tracked] : mTasks) {
+    if (tracked.mEntry != aEntry) {
       continue;
     }
-    one.mOwner = 0;
-    if (one.mState == task_state::Queued) {
+    tracked.mEntry = 0;
+    if (tracked.mState == task_state::Queued) {
       queued.push_back(key);
     } else {
-      BeginStop(one, attempt_outcome::Stopped, aNow);
+      BeginStop(tracked, attempt_outcome::Stopped, aNow);
       stopped++;
     }
   }
@@ -107,7 +107,7 @@
 
 void
 task_executor::OnStartTasks(peer_id aEntry,
-                            const wire::start_tasks_msg& aOrder,
+                            const wire::start_tasks_msg& aDispatch,
                             instant aNow)
 {
   auto found = mEntries.find(aEntry);
@@ -115,31 +115,32 @@
     return;
   }
   found->second.mLastHeard = aNow;
-  found->second.mLastDispatchNumber = aOrder.offer;
+  found->second.mLastDispatchNumber = aDispatch.offer;
   mLastDispatchAt = aNow;
-  OnEvacuations(DecodeEvacuations(aOrder.evacuating.get(), aNow), aNow);
-  auto spec = std::make_shared<const std::string>(aOrder.spec);
-  for (const wire::task_attempt& attempt : aOrder.tasks) {
-    Accept(aEntry, aOrder, attempt, spec, aNow);
+  OnEvacuations(DecodeEvacuations(aDispatch.evacuating.get(), aNow), aNow);
+  auto spec = std::make_shared<const std::string>(aDispatch.spec);
+  for (const wire::task_attempt& attempt : aDispatch.tasks) {
+    Accept(aEntry, aDispatch, attempt, spec, aNow);
   }
   MarkChanged();
 }
 
 void
 task_executor::Accept(peer_id aEntry,
-                      const wire::start_tasks_msg& aOrder,
+                      const wire::start_tasks_msg& aDispatch,
                       const wire::task_attempt& aAttempt,
                       const std::shared_ptr<const std::string>& aSpec,
                       instant aNow)
 {
-  task_key key{ aOrder.job, aOrder.step, aAttempt.index() };
+  task_key key{ aDispatch.job, aDispatch.step, aAttempt.index() };
   auto refuse = [&](attempt_outcome aWhy) {
-    mEntries[aEntry].mEnds.push_back(EndOf(key, aAttempt.attempt(), 0, aWhy));
+    mEntries[aEntry].mEnds.push_back(
+      MakeTaskEnd(key, aAttempt.attempt(), 0, aWhy));
   };
   server_state state = State(aNow);
-  bool leaving =
+  bool drainingOrEvacuated =
     state == server_state::Draining || state == server_state::Evacuated;
-  if (mDraining || leaving) {
+  if (mDraining || drainingOrEvacuated) {
     refuse(attempt_outcome::Draining);
     return;
   }
@@ -147,45 +148,45 @@
     refuse(attempt_outcome::Unusable);
     return;
   }
-  resources size{ aOrder.cpu_millis, aOrder.memory_mb, aOrder.gpus };
+  resources size{ aDispatch.cpu_millis, aDispatch.memory_mb, aDispatch.gpus };
   // The same task under another order may still be being stopped here.
   if (mTasks.count(key) > 0 || !size.FitsIn(mServer.mCapacity)) {
     refuse(attempt_outcome::NoRoom);
     return;
   }
-  instant startBy = aNow + milliseconds(aOrder.start_within_ms);
+  instant startBy = aNow + milliseconds(aDispatch.start_within_ms);
   if (mMechanisms.Has(mechanism::EarlyReturn) &&
       ExpectedStart(size, aNow) > startBy) {
     // Told at once, the entry can still place it elsewhere in time.
     refuse(attempt_outcome::NoRoom);
     return;
   }
-  task& made = mTasks[key];
-  made.mKey = key;
-  made.mOwner = aEntry;
-  made.mAttempt = aAttempt.attempt();
-  made.mSpec = aSpec;
-  made.mSize = size;
-  made.mEstimateMs = aOrder.estimate_ms;
-  made.mDeclaredMs =
-    aOrder.declared_ms > 0 ? aOrder.declared_ms : aOrder.estimate_ms;
-  made.mUrgentAt = aNow + milliseconds(aOrder.urgent_in_ms);
-  made.mStartBy = startBy;
-  made.mStopBy = aNow + milliseconds(aOrder.stop_after_ms);
-  mQueue.insert({ made.mUrgentAt, key });
+  task& added = mTasks[key];
+  added.mKey = key;
+  added.mEntry = aEntry;
+  added.mAttempt = aAttempt.attempt();
+  added.mSpec = aSpec;
+  added.mSize = size;
+  added.mEstimateMs = aDispatch.estimate_ms;
+  added.mDeclaredMs =
+    aDispatch.declared_ms > 0 ? aDispatch.declared_ms : aDispatch.estimate_ms;
+  added.mUrgentAt = aNow + milliseconds(aDispatch.urgent_in_ms);
+  added.mStartBy = startBy;
+  added.mStopBy = aNow + milliseconds(aDispatch.stop_after_ms);
+  mQueue.insert({ added.mUrgentAt, key });
   mEntries[aEntry].mOpenTasks++;
 }
 
 void
 task_executor::OnStopTasks(peer_id aEntry,
-                           const wire::stop_tasks_msg& aOrder,
+                           const wire::stop_tasks_msg& aRequest,
                            instant aNow)
 {
   OnHeartbeat(aEntry, aNow);
-  for (uint32_t index : aOrder.indexes) {
-    task_key key{ aOrder.job, aOrder.step, index };
+  for (uint32_t index : aRequest.indexes) {
+    task_key key{ aRequest.job, aRequest.step, index };
     auto found = mTasks.find(key);
-    if (found == mTasks.end() || found->second.mOwner != aEntry) {
+    if (found == mTasks.end() || found->second.mEntry != aEntry) {
       continue;
     }
     if (found->second.mState == task_state::Queued) {
@@ -198,33 +199,37 @@
 }
 
 void
-task_executor::OnAnnouncement(const server_announcement& aSaid, instant aNow)
+task_executor::OnAnnouncement(const server_announcement& aAnnouncement,
+                              instant aNow)
 {
   // An announcement may be delayed and arrive after that of a later life.
-  bool older = mAnnounced && (aSaid.mStartTimeMs < mServer.mStartTimeMs ||
-                              (aSaid.mStartTimeMs == mServer.mStartTimeMs &&
-                               aSaid.mSequence <= mServer.mSequence));
+  bool older =
+    mServerKnown && (aAnnouncement.mStartTimeMs < mServer.mStartTimeMs ||
+                     (aAnnouncement.mStartTimeMs == mServer.mStartTimeMs &&
+                      aAnnouncement.mSequence <= mServer.mSequence));
   if (older) {
     return;
   }
-  bool news = !mAnnounced || IsRestored() || aSaid.mId != mServer.mId ||
-              aSaid.mStartTimeMs != mServer.mStartTimeMs ||
-              aSaid.mDraining != mServer.mDraining;
-  CheckIncarnation(aSaid.mStartTimeMs, aNow);
-  SetServer(aSaid);
+  bool changed = !mServerKnown || IsRestored() ||
+                 aAnnouncement.mId != mServer.mId ||
+                 aAnnouncement.mStartTimeMs != mServer.mStartTimeMs ||
+                 aAnnouncement.mDraining != mServer.mDraining;
+  CheckIncarnation(aAnnouncement.mStartTimeMs, aNow);
+  SetServer(aAnnouncement);
   mRestoredUntil = instant(0);
-  mColdUntil = aNow + milliseconds(aSaid.mColdLeftMs);
-  NoticeCold(aNow);
-  if (news) {
-    mEvents.Emit(event_code::BackendAnnounced,
-                 { { "server", aSaid.mId },
-                   { "draining", aSaid.mDraining ? "yes" : "no" },
-                   { "cpu_millis", std::to_string(aSaid.mCapacity.mCpuMillis) },
-                   { "memory_mb", std::to_string(aSaid.mCapacity.mMemoryMb) },
-                   { "sequence", std::to_string(aSaid.mSequence) } });
+  mColdUntil = aNow + milliseconds(aAnnouncement.mColdLeftMs);
+  CheckCold(aNow);
+  if (changed) {
+    mEvents.Emit(
+      event_code::BackendAnnounced,
+      { { "server", aAnnouncement.mId },
+        { "draining", aAnnouncement.mDraining ? "yes" : "no" },
+        { "cpu_millis", std::to_string(aAnnouncement.mCapacity.mCpuMillis) },
+        { "memory_mb", std::to_string(aAnnouncement.mCapacity.mMemoryMb) },
+        { "sequence", std::to_string(aAnnouncement.mSequence) } });
     MarkChanged();
   }
-  if (aSaid.mDraining) {
+  if (aAnnouncement.mDraining) {
     ReturnQueued(attempt_outcome::Draining, aNow);
   }
 }
@@ -232,7 +237,7 @@
 void
 task_executor::SetServer(const server_announcement& aServer)
 {
-  if (!mAnnounced || aServer.mId != mServer.mId) {
+  if (!mServerKnown || aServer.mId != mServer.mId) {
     mRunner.ExpectInstance(aServer.mId);
   }
   resources used = mServer.mCapacity;
@@ -240,13 +245,13 @@
   mFree = aServer.mCapacity;
   mFree -= used;
   mServer = aServer;
-  mAnnounced = true;
+  mServerKnown = true;
 }
 
 void
 task_executor::OnWithdrawal(const std::string& aServerId, instant aNow)
 {
-  if (!mAnnounced || aServerId != mServer.mId) {
+  if (!mServerKnown || aServerId != mServer.mId) {
     return;
   }
   mEvents.Emit(event_code::BackendWithdrawn, { { "server", aServerId } });
@@ -259,7 +264,7 @@
 task_executor::State(instant aNow) const
 {
   bool unconfirmed = IsRestored() && mServerStartTimeMs != mServer.mStartTimeMs;
-  if (!mAnnounced || !mReachable || unconfirmed) {
+  if (!mServerKnown || !mReachable || unconfirmed) {
     return server_state::Absent;
   }
   if (mServer.mDraining || mDraining) {
@@ -276,7 +281,7 @@
 task_executor::ExpectedEnd(const task& aTask, instant aNow) const
 {
   duration total;
-  if (aTask.mPercent >= kFirstForecastPercent) {
+  if (aTask.mPercent >= kMinProgressPercent) {
     total = (aTask.mPercentAt - aTask.mStartSentAt) * 100 / aTask.mPercent;
   } else {
     total = duration(int64_t(aTask.mEstimateMs * Slowness() * 1000));
@@ -288,9 +293,9 @@
 task_executor::ExpectedStart(const resources& aSize, instant aNow) const
 {
   std::vector<std::pair<instant, resources>> ends;
-  for (const auto& [key, one] : mTasks) {
-    if (one.mState != task_state::Queued) {
-      ends.emplace_back(ExpectedEnd(one, aNow), one.mSize);
+  for (const auto& [key, tracked] : mTasks) {
+    if (tracked.mState != task_state::Queued) {
+      ends.emplace_back(ExpectedEnd(tracked, aNow), tracked.mSize);
     }
   }
   std::sort(
@@ -300,13 +305,13 @@
   resources free = mFree;
   instant start = aNow;
   size_t next = 0;
-  auto fit = [&](const resources& aOne) {
-    while (!aOne.FitsIn(free) && next < ends.size()) {
+  auto fit = [&](const resources& aTaskSize) {
+    while (!aTaskSize.FitsIn(free) && next < ends.size()) {
       start = ends[next].first;
       free += ends[next].second;
       next++;
     }
-    free -= aOne;
+    free -= aTaskSize;
   };
   for (const auto& [urgent, key] : mQueue) {
     fit(mTasks.at(key).mSize);
@@ -333,11 +338,11 @@
 bool
 task_executor::MayStart(instant aNow) const
 {
-  return State(aNow) == server_state::Ready && !mStrays && mClockKnown;
+  return State(aNow) == server_state::Ready && !mHasStrays && mClockKnown;
 }
 
 void
-task_executor::StartWhatFits(instant aNow)
+task_executor::StartQueuedTasks(instant aNow)
 {
   if (!MayStart(aNow)) {
     return;
@@ -359,8 +364,8 @@
 task_executor::ReturnQueued(attempt_outcome aOutcome, instant aNow)
 {
   std::vector<queue_key> queued(mQueue.begin(), mQueue.end());
-  for (const queue_key& one : queued) {
-    End(one.second, aOutcome, aNow);
+  for (const queue_key& queuedTask : queued) {
+    End(queuedTask.second, aOutcome, aNow);
   }
 }
 
@@ -368,15 +373,15 @@
 task_executor::End(const task_key& aKey, attempt_outcome aOutcome, instant aNow)
 {
   auto found = mTasks.find(aKey);
-  task& one = found->second;
-  if (one.mState == task_state::Queued) {
-    mQueue.erase({ one.mUrgentAt, aKey });
+  task& tracked = found->second;
+  if (tracked.mState == task_state::Queued) {
+    mQueue.erase({ tracked.mUrgentAt, aKey });
   } else {
-    mFree += one.mSize;
-    if (mLastRunNumbers.emplace(aKey, one.mRunNumber).second) {
+    mFree += tracked.mSize;
+    if (mLastRunNumbers.emplace(aKey, tracked.mRunNumber).second) {
       mLastRunOrder.push_back(aKey);
     } else {
-      mLastRunNumbers[aKey] = one.mRunNumber;
+      mLastRunNumbers[aKey] = tracked.mRunNumber;
     }
     if (mLastRunOrder.size() > kMaxRunNumbers) {
       size_t half = kMaxRunNumbers / 2;
@@ -387,13 +392,14 @@
                           mLastRunOrder.begin() + long(half));
     }
   }
-  auto owner = mEntries.find(one.mOwner);
-  if (owner != mEntries.end()) {
-    uint32_t runMs = one.mStartSentAt.count() == 0
+  auto entry = mEntries.find(tracked.mEntry);
+  if (entry != mEntries.end()) {
+    uint32_t runMs = tracked.mStartSentAt.count() == 0
                        ? 0
-                       : uint32_t(ToMs(aNow - one.mStartSentAt));
-    owner->second.mEnds.push_back(EndOf(aKey, one.mAttempt, runMs, aOutcome));
-    owner->second.mOpenTasks--;
+                       : uint32_t(ToMs(aNow - tracked.mStartSentAt));
+    entry->second.mEnds.push_back(
+      MakeTaskEnd(aKey, tracked.mAttempt, runMs, aOutcome));
+    entry->second.mOpenTasks--;
   }
   mTasks.erase(found);
   MarkChanged();
@@ -408,18 +414,18 @@
 }
 
 void
-task_executor::DropSilentEntries(instant aNow)
+task_executor::CheckEntryTimeouts(instant aNow)
 {
   // An entry without tasks here has no reason to say anything.
-  std::set<peer_id> silent;
-  for (const auto& [key, one] : mTasks) {
-    bool needsOwner = one.mOwner != 0 && !one.mStopping;
-    if (needsOwner &&
-        aNow - mEntries.at(one.mOwner).mLastHeard > kEntryTimeout) {
-      silent.insert(one.mOwner);
+  std::set<peer_id> timedOut;
+  for (const auto& [key, tracked] : mTasks) {
+    bool needsEntry = tracked.mEntry != 0 && !tracked.mStopping;
+    if (needsEntry &&
+        aNow - mEntries.at(tracked.mEntry).mLastHeard > kEntryTimeout) {
+      timedOut.insert(tracked.mEntry);
     }
   }
-  for (peer_id peer : silent) {
+  for (peer_id peer : timedOut) {
     mEvents.Emit(
       event_code::PeerSilent,
       { { "peer", mEntries[peer].mName },
@@ -434,19 +440,20 @@
 task_executor::ExpireTasks(instant aNow)
 {
   std::vector<task_key> unstarted;
-  for (auto& [key, one] : mTasks) {
-    if (one.mState == task_state::Queued) {
-      if (aNow >= one.mStartBy) {
+  for (auto& [key, tracked] : mTasks) {
+    if (tracked.mState == task_state::Queued) {
+      if (aNow >= tracked.mStartBy) {
         unstarted.push_back(key);
       }
       continue;
     }
-    if (aNow >= one.mStopBy) {
-      BeginStop(one, attempt_outcome::Stopped, aNow);
+    if (aNow >= tracked.mStopBy) {
+      BeginStop(tracked, attempt_outcome::Stopped, aNow);
     }
-    if (one.mStopping && !one.mStopAnswered && aNow >= one.mNextStop) {
-      one.mNextStop = aNow + kStopRetry;
-      SendStop(key, one.mRunNumber);
+    if (tracked.mStopping && !tracked.mStopAcknowledged &&
+        aNow >= tracked.mNextStop) {
+      tracked.mNextStop = aNow + kStopRetryInterval;
+      SendStop(key, tracked.mRunNumber);
     }
   }
   for (const task_key& key : unstarted) {
@@ -457,10 +464,10 @@
 void
 task_executor::Tick(instant aNow)
 {
-  DropSilentEntries(aNow);
+  CheckEntryTimeouts(aNow);
   ExpireTasks(aNow);
   CheckRestored(aNow);
-  NoticeCold(aNow);
+  CheckCold(aNow);
   CheckLeaseExpiry(aNow);
   CheckServerTimeout(aNow);
   if (IsPollDue(aNow)) {
@@ -470,33 +477,34 @@
   // read. A process that stood still finds an order, its withdrawal and the end
   // of the connection in one go; starting as soon as the order or an answer of
   // the backend server is read would run tasks whose job runs elsewhere by now.
-  StartWhatFits(aNow);
+  StartQueuedTasks(aNow);
   SendReports(aNow);
 }
 
 wire::server_report_msg
 task_executor::DescribeServer(instant aNow) const
 {
-  wire::server_report_msg said;
-  said.state = uint8_t(State(aNow));
-  said.service = mService;
-  said.cpu_millis = uint32_t(mServer.mCapacity.mCpuMillis);
-  said.memory_mb = uint32_t(mServer.mCapacity.mMemoryMb);
-  said.gpus = uint32_t(mServer.mCapacity.mGpus);
-  said.free_cpu_millis = mStrays ? 0 : int32_t(mFree.mCpuMillis);
-  said.free_memory_mb = int32_t(mFree.mMemoryMb);
-  said.free_gpus = int32_t(mFree.mGpus);
+  wire::server_report_msg report;
+  report.state = uint8_t(State(aNow));
+  report.service = mService;
+  report.cpu_millis = uint32_t(mServer.mCapacity.mCpuMillis);
+  report.memory_mb = uint32_t(mServer.mCapacity.mMemoryMb);
+  report.gpus = uint32_t(mServer.mCapacity.mGpus);
+  report.free_cpu_millis = mHasStrays ? 0 : int32_t(mFree.mCpuMillis);
+  report.free_memory_mb = int32_t(mFree.mMemoryMb);
+  report.free_gpus = int32_t(mFree.mGpus);
   uint64_t queued = 0;
   for (const auto& [urgent, key] : mQueue) {
     queued += uint64_t(mTasks.at(key).mSize.mCpuMillis);
   }
-  said.queued_cpu_millis = uint32_t(queued);
-  said.running = uint32_t(Running());
-  said.room_in_ms = uint32_t(ToMs(ExpectedStart(MeanTaskSize(), aNow) - aNow));
-  said.mean_run_ms = uint32_t(mMeanRunMs);
-  said.slowness_permille = uint32_t(Slowness() * 1000);
-  said.labels = mServer.mLabels;
-  return said;
+  report.queued_cpu_millis = uint32_t(queued);
+  report.running = uint32_t(Running());
+  report.room_in_ms =
+    uint32_t(ToMs(ExpectedStart(MeanTaskSize(), aNow) - aNow));
+  report.mean_run_ms = uint32_t(mMeanRunMs);
+  report.slowness_permille = uint32_t(Slowness() * 1000);
+  report.labels = mServer.mLabels;
+  return report;
 }
 
 size_t
@@ -524,9 +532,9 @@
                            duration aSpacing,
                            instant aNow) const
 {
-  bool news = !aEntry.mEnds.empty() || !aEntry.mTooSlow.empty() ||
-              aEntry.mReportRequested || aEntry.mReportedState != aState;
-  if (news) {
+  bool urgent = !aEntry.mEnds.empty() || !aEntry.mTooSlow.empty() ||
+                aEntry.mReportRequested || aEntry.mReportedState != aState;
+  if (urgent) {
     return true;
   }
   duration since = aNow - aEntry.mReportedAt;
@@ -540,26 +548,26 @@
 void
 task_executor::SendReports(instant aNow)
 {
-  std::optional<wire::server_report_msg> said; // the same for all entries
+  std::optional<wire::server_report_msg> report; // the same for all entries
   server_state state = State(aNow);
   duration spacing = ReportSpacing();
   for (auto& [peer, entry] : mEntries) {
     if (!IsReportDue(entry, state, spacing, aNow)) {
       continue;
     }
-    if (!said) {
-      said = DescribeServer(aNow);
+    if (!report) {
+      report = DescribeServer(aNow);
     }
-    said->ends = std::move(entry.mEnds);
+    report->ends = std::move(entry.mEnds);
     entry.mEnds.clear();
-    said->too_slow = std::move(entry.mTooSlow);
+    report->too_slow = std::move(entry.mTooSlow);
     entry.mTooSlow.clear();
-    said->last_offer = entry.mLastDispatchNumber;
+    report->last_offer = entry.mLastDispatchNumber;
     entry.mReportedAt = aNow;
     entry.mChanged = false;
     entry.mReportRequested = false;
     entry.mReportedState = state;
-    mLinks.Report(peer, *said);
+    mLinks.Report(peer, *report);
   }
 }
 
--- a/cactusmast/task_executor.h
+++ b/cactusmast/task_executor.h
@@ -66,7 +66,8 @@
 {
 public:
   virtual ~executor_links() = default;
-  virtual void Report(peer_id aEntry, const wire::server_report_msg& aSaid) = 0;
+  virtual void Report(peer_id aEntry,
+                      const wire::server_report_msg& aReport) = 0;
   // Closes a connection over which nothing has come for too long.
   virtual void Close(peer_id aEntry) = 0;
 };
@@ -74,7 +75,7 @@
 class task_executor
 {
 public:
-  task_executor(uint64_t aFence,
+  task_executor(uint64_t aFencingToken,
                 std::string aService,
                 std::string aDataCenter,
                 executor_links& aLinks,
@@ -88,19 +89,19 @@
   // Whether the entry wants a report of each change of room.
   void OnSubscription(peer_id aEntry, bool aWanted, instant aNow);
   // What an entry or the store says of evacuations. True if it is news.
-  bool OnEvacuations(const std::optional<evacuation_update>& aSaid,
+  bool OnEvacuations(const std::optional<evacuation_update>& aUpdate,
                      instant aNow);
   // Whether the store is to be asked for evacuations: entries order tasks here
   // that have not heard from it for long.
   bool WantsEvacuations(instant aNow) const;
   void OnStartTasks(peer_id aEntry,
-                    const wire::start_tasks_msg& aOrder,
+                    const wire::start_tasks_msg& aDispatch,
                     instant aNow);
   void OnStopTasks(peer_id aEntry,
-                   const wire::stop_tasks_msg& aOrder,
+                   const wire::stop_tasks_msg& aRequest,
                    instant aNow);
 
-  void OnAnnouncement(const server_announcement& aSaid, instant aNow);
+  void OnAnnouncement(const server_announcement& aAnnouncement, instant aNow);
   // What an earlier process here knew of the backend server, from the store.
   // It stands in for an announcement until one comes, for kRestoredLifetime at
   // most, and only if the backend server is still in the life that it names.
@@ -112,18 +113,18 @@
 
   // aClockMs: the backend server's clock, 0 when the answer has none.
   void OnStartReply(const task_key& aTask,
-                    uint32_t aRun,
+                    uint32_t aRunNumber,
                     start_result aResult,
                     int64_t aClockMs,
                     instant aNow);
   void OnStopReply(const task_key& aTask,
-                   uint32_t aRun,
-                   bool aAnswered,
+                   uint32_t aRunNumber,
+                   bool aAcknowledged,
                    instant aNow);
   // aSeen counts only when aResult is Ok.
   void OnPollReply(uint64_t aNumber,
                    poll_result aResult,
-                   const server_snapshot& aSeen,
+                   const server_snapshot& aSnapshot,
                    instant aNow);
 
   void Tick(instant aNow);
@@ -153,7 +154,7 @@
   struct task
   {
     task_key mKey;
-    peer_id mOwner = 0; // 0: nobody is told any more
+    peer_id mEntry = 0; // 0: nobody is told any more
     uint32_t mAttempt = 0;
     uint32_t mRunNumber = 0;
     std::shared_ptr<const std::string> mSpec;
@@ -171,7 +172,7 @@
     instant mPercentAt{};
     bool mSlowReported = false;
     bool mStopping = false;
-    bool mStopAnswered = false;
+    bool mStopAcknowledged = false;
     instant mNextStop{};
     attempt_outcome mStopOutcome = attempt_outcome::Stopped;
     uint32_t mRetries = 0; // for reasons given
@@ -197,7 +198,7 @@
   using task_map = std::unordered_map<task_key, task>;
 
   void Accept(peer_id aEntry,
-              const wire::start_tasks_msg& aOrder,
+              const wire::start_tasks_msg& aDispatch,
               const wire::task_attempt& aAttempt,
               const std::shared_ptr<const std::string>& aSpec,
               instant aNow);
@@ -208,12 +209,12 @@
   bool MayStart(instant aNow) const;
   bool IsEvacuated() const { return mEvacuations.Has(mDataCenter); }
   // After an offer to mEvacuations; aBefore: IsEvacuated() until then.
-  void NoteEvacuations(bool aBefore, instant aNow);
-  void StartWhatFits(instant aNow);
+  void OnEvacuationsChanged(bool aWasEvacuated, instant aNow);
+  void StartQueuedTasks(instant aNow);
   void BeginStart(task& aTask, instant aNow);
   void SendStart(const task& aTask, instant aNow);
   void BeginStop(task& aTask, attempt_outcome aOutcome, instant aNow);
-  void SendStop(const task_key& aTask, uint32_t aRun);
+  void SendStop(const task_key& aTask, uint32_t aRunNumber);
   void SendPoll(instant aNow);
   // How long the next look may wait for an end.
   milliseconds PollWait(instant aNow) const;
@@ -229,16 +230,18 @@
   void UpdateEstimates(const task& aTask,
                        attempt_outcome aOutcome,
                        instant aNow);
-  void ApplyEnds(const server_snapshot& aSeen, instant aNow);
-  void ApplyRunning(const server_snapshot& aSeen, instant aSent, instant aNow);
-  void NoticeProgress(task& aTask, uint32_t aPercent, instant aNow);
-  void CheckIncarnation(int64_t aBornMs, instant aNow);
+  void ApplyEnds(const server_snapshot& aSnapshot, instant aNow);
+  void ApplyRunning(const server_snapshot& aSnapshot,
+                    instant aSentAt,
+                    instant aNow);
+  void OnProgress(task& aTask, uint32_t aPercent, instant aNow);
+  void CheckIncarnation(int64_t aStartTimeMs, instant aNow);
   void SetServer(const server_announcement& aServer);
-  void NoticeCold(instant aNow);
+  void CheckCold(instant aNow);
   bool IsRestored() const { return mRestoredUntil.count() != 0; }
   void CheckRestored(instant aNow);
   void DropRestored(const std::string& aReason, instant aNow);
-  void DropSilentEntries(instant aNow);
+  void CheckEntryTimeouts(instant aNow);
   void ExpireTasks(instant aNow);
   bool IsPollDue(instant aNow) const;
   void CheckServerTimeout(instant aNow);
@@ -271,8 +274,8 @@
   std::map<task_key, uint32_t> mLastRunNumbers;
   std::vector<task_key> mLastRunOrder;
 
-  bool mAnnounced = false;  // or recalled
-  instant mRestoredUntil{}; // zero: mServer is from an announcement
+  bool mServerKnown = false; // or recalled
+  instant mRestoredUntil{};  // zero: mServer is from an announcement
   server_announcement mServer;
   resources mFree;
   bool mDraining = false;
@@ -283,8 +286,8 @@
   int64_t mClockOffsetMs = 0; // the backend server's clock less ours
   instant mLeaseEnd{};        // no lease that we asked for lasts longer
   bool mReachable = false;
-  // Unanswered ones, by when they were sent.
-  std::map<uint64_t, instant> mPendingPolls;
+  std::map<uint64_t, instant>
+    mPendingPolls;          // unanswered ones, by when they were sent
   instant mPollTimeoutAt{}; // the newest one is late from then on
   instant mNextPoll{};
   uint64_t mLastPollNumber = 0;
@@ -292,7 +295,7 @@
   instant mLastPollReplyAt{};    // when that was
   uint64_t mLastEndSeen = 0;
   int64_t mServerStartTimeMs = 0;
-  bool mStrays = true; // unknown before the first look
+  bool mHasStrays = true; // unknown before the first look
   std::map<task_key, instant> mStrayStops;
 
   speed_estimate mSpeed;
--- a/cactusmast/task_executor_evacuation.cc
+++ b/cactusmast/task_executor_evacuation.cc
@@ -10,19 +10,19 @@
 using namespace detail;
 
 bool
-task_executor::OnEvacuations(const std::optional<evacuation_update>& aSaid,
+task_executor::OnEvacuations(const std::optional<evacuation_update>& aUpdate,
                              instant aNow)
 {
-  bool before = IsEvacuated();
-  bool news = aSaid && mEvacuations.Update(*aSaid);
-  if (news) {
-    NoteEvacuations(before, aNow);
+  bool wasEvacuated = IsEvacuated();
+  bool changed = aUpdate && mEvacuations.Update(*aUpdate);
+  if (changed) {
+    OnEvacuationsChanged(wasEvacuated, aNow);
   }
-  return news;
+  return changed;
 }
 
 void
-task_executor::NoteEvacuations(bool aBefore, instant aNow)
+task_executor::OnEvacuationsChanged(bool aWasEvacuated, instant aNow)
 {
   mEvents.Emit(event_code::EvacuationsChanged,
                { { "data_centers", NamesOf(mEvacuations.State()) },
@@ -31,7 +31,7 @@
                  { "here", IsEvacuated() ? "yes" : "no" },
                  { "running", std::to_string(Running()) },
                  { "returned", std::to_string(Queued()) } });
-  if (IsEvacuated() == aBefore) {
+  if (IsEvacuated() == aWasEvacuated) {
     return;
   }
   if (IsEvacuated()) {
@@ -45,7 +45,7 @@
 task_executor::WantsEvacuations(instant aNow) const
 {
   return aNow - mLastDispatchAt <= kRecentDispatch &&
-         mEvacuations.Age(aNow) > kEvacuationsOldAfter;
+         mEvacuations.Age(aNow) > kEvacuationsStaleAfter;
 }
 
 } // namespace cactusmast
--- a/cactusmast/task_executor_limits.h
+++ b/cactusmast/task_executor_limits.h
@@ -22,7 +22,7 @@
 constexpr duration kIdleReportInterval = milliseconds(1000);
 // An unanswered stop is repeated: it may have been lost, and its answer is
 // what settles the attempt.
-constexpr duration kStopRetry = milliseconds(40);
+constexpr duration kStopRetryInterval = milliseconds(40);
 // Between looks at a backend server that refuses connections.
 constexpr duration kPollRetryInterval = milliseconds(50);
 // A backend server that has answered no look for this long is taken to be gone
@@ -45,17 +45,17 @@
 constexpr uint32_t kQuarantineAfterFailures = 3;
 constexpr duration kQuarantineTime = milliseconds(1500);
 // Of the mean run time: about the last ten tasks count.
-constexpr double kLearnDecay = 0.9;
+constexpr double kMeanRunDecay = 0.9;
 // Progress comes in whole percents: from here on the forecast is good to about
 // a tenth.
-constexpr duration kFirstForecastAfter = milliseconds(100);
-constexpr uint32_t kFirstForecastPercent = 5;
+constexpr duration kMinProgressTime = milliseconds(100);
+constexpr uint32_t kMinProgressPercent = 5;
 // A task that runs longer than forecast ends soon, or its forecast was wrong.
 constexpr duration kOverdueEnd = milliseconds(10);
 // An evacuation has to be in force within seconds. Entries hear from the store
 // at least every 1.5 s; if none of those that order here has heard from it for
 // this long, the executor asks by itself.
-constexpr duration kEvacuationsOldAfter = milliseconds(2500);
+constexpr duration kEvacuationsStaleAfter = milliseconds(2500);
 // Orders come far more often than this while there is work.
 constexpr duration kRecentDispatch = milliseconds(1000);
 // Run numbers are remembered for this many ended tasks; a caller sends its job
--- a/cactusmast/task_executor_polls.cc
+++ b/cactusmast/task_executor_polls.cc
@@ -22,17 +22,17 @@
 milliseconds
 task_executor::PollWait(instant aNow) const
 {
-  bool lost = !mPendingPolls.empty();
-  if (lost) {
+  bool unansweredPoll = !mPendingPolls.empty();
+  if (unansweredPoll) {
     return kMinPollWait;
   }
   if (Running() == 0) {
     return kIdlePollWait;
   }
   instant next = aNow + kLongPollWait;
-  for (const auto& [key, one] : mTasks) {
-    if (one.mState != task_state::Queued) {
-      next = std::min(next, ExpectedEnd(one, aNow) + kOverdueEnd);
+  for (const auto& [key, tracked] : mTasks) {
+    if (tracked.mState != task_state::Queued) {
+      next = std::min(next, ExpectedEnd(tracked, aNow) + kOverdueEnd);
     }
   }
   auto wait = std::chrono::duration_cast<milliseconds>(next - aNow);
@@ -42,19 +42,20 @@
 void
 task_executor::SendPoll(instant aNow)
 {
-  poll_request order;
-  order.mNumber = ++mLastPollNumber;
-  order.mFencingToken = mFencingToken;
-  order.mLastEndSeen = mLastEndSeen;
+  poll_request request;
+  request.mNumber = ++mLastPollNumber;
+  request.mFencingToken = mFencingToken;
+  request.mLastEndSeen = mLastEndSeen;
   // A backend server that has been silent gets no longer lease: if it runs on
   // unseen, that must have an end. Before its clock is known there is nothing
   // to lease.
-  bool steady = mClockKnown && aNow - mLastPollReplyAt < kServerTimeout;
-  order.mLeaseUntilMs = steady ? ExtendLease(aNow) : 0;
-  order.mWaitMs = steady && !mStrays ? uint32_t(PollWait(aNow).count()) : 0;
-  mPendingPolls[order.mNumber] = aNow;
-  mPollTimeoutAt = aNow + milliseconds(order.mWaitMs) + kPollGrace;
-  mRunner.Poll(order);
+  bool responsive = mClockKnown && aNow - mLastPollReplyAt < kServerTimeout;
+  request.mLeaseUntilMs = responsive ? ExtendLease(aNow) : 0;
+  request.mWaitMs =
+    responsive && !mHasStrays ? uint32_t(PollWait(aNow).count()) : 0;
+  mPendingPolls[request.mNumber] = aNow;
+  mPollTimeoutAt = aNow + milliseconds(request.mWaitMs) + kPollGrace;
+  mRunner.Poll(request);
 }
 
 void
@@ -75,15 +76,15 @@
 void
 task_executor::OnPollReply(uint64_t aNumber,
                            poll_result aResult,
-                           const server_snapshot& aSeen,
+                           const server_snapshot& aSnapshot,
                            instant aNow)
 {
-  auto asked = mPendingPolls.find(aNumber);
-  if (asked == mPendingPolls.end()) {
+  auto pending = mPendingPolls.find(aNumber);
+  if (pending == mPendingPolls.end()) {
     return;
   }
-  instant sent = asked->second;
-  mPendingPolls.erase(asked);
+  instant sentAt = pending->second;
+  mPendingPolls.erase(pending);
   if (aResult == poll_result::FencedOff) {
     mFencingToken += kFencingTokenStep;
   }
@@ -97,22 +98,22 @@
   }
   mNewestPollReply = aNumber;
   mLastPollReplyAt = aNow;
-  mNextPoll = mStrays ? aNow + kStrayPollInterval : aNow;
-  mClockOffsetMs = aSeen.mClockMs - ToMs(aNow);
-  CheckIncarnation(aSeen.mStartTimeMs, aNow);
+  mNextPoll = mHasStrays ? aNow + kStrayPollInterval : aNow;
+  mClockOffsetMs = aSnapshot.mClockMs - ToMs(aNow);
+  CheckIncarnation(aSnapshot.mStartTimeMs, aNow);
   mClockKnown = true;
   if (!mReachable) {
     mReachable = true;
     MarkChanged();
   }
-  ApplyEnds(aSeen, aNow);
-  ApplyRunning(aSeen, sent, aNow);
+  ApplyEnds(aSnapshot, aNow);
+  ApplyRunning(aSnapshot, sentAt, aNow);
 }
 
 void
-task_executor::ApplyEnds(const server_snapshot& aSeen, instant aNow)
+task_executor::ApplyEnds(const server_snapshot& aSnapshot, instant aNow)
 {
-  for (const ended_task& end : aSeen.mEnded) {
+  for (const ended_task& end : aSnapshot.mEnded) {
     mLastEndSeen = std::max(mLastEndSeen, end.mNumber);
     auto found = mTasks.find(end.mTask);
     bool ours = found != mTasks.end() &&
@@ -141,20 +142,20 @@
 }
 
 void
-task_executor::ApplyRunning(const server_snapshot& aSeen,
-                            instant aSent,
+task_executor::ApplyRunning(const server_snapshot& aSnapshot,
+                            instant aSentAt,
                             instant aNow)
 {
-  bool strays = aSeen.mForeignRunning > 0;
+  bool strays = aSnapshot.mForeignRunning > 0;
   std::set<task_key> listed;
-  for (const running_task& run : aSeen.mRunning) {
+  for (const running_task& run : aSnapshot.mRunning) {
     auto found = mTasks.find(run.mTask);
     bool ours = found != mTasks.end() &&
                 found->second.mRunNumber == run.mRunNumber &&
                 found->second.mState != task_state::Queued;
     if (ours) {
       found->second.mSeenRunning = true;
-      NoticeProgress(found->second, run.mPercent, aNow);
+      OnProgress(found->second, run.mPercent, aNow);
       listed.insert(run.mTask);
       continue;
     }
@@ -162,7 +163,7 @@
     strays = true;
     instant& next = mStrayStops[run.mTask];
     if (next <= aNow) {
-      next = aNow + kStopRetry;
+      next = aNow + kStopRetryInterval;
       SendStop(run.mTask, run.mRunNumber);
       mEvents.Emit(event_code::StrayStopped,
                    { { "task", FormatJobId(run.mTask.mJob) },
@@ -172,33 +173,36 @@
   if (!strays) {
     mStrayStops.clear();
   }
-  if (mStrays != strays) {
-    mStrays = strays;
+  if (mHasStrays != strays) {
+    mHasStrays = strays;
     MarkChanged(); // with strays there is no room
   }
-  std::vector<task_key> gone;
-  for (const auto& [key, one] : mTasks) {
-    bool settled = one.mState != task_state::Queued &&
-                   one.mConfirmedAt.count() != 0 && one.mConfirmedAt < aSent;
-    if (settled && listed.count(key) == 0) {
-      gone.push_back(key);
+  std::vector<task_key> ended;
+  for (const auto& [key, tracked] : mTasks) {
+    bool confirmed = tracked.mState != task_state::Queued &&
+                     tracked.mConfirmedAt.count() != 0 &&
+                     tracked.mConfirmedAt < aSentAt;
+    if (confirmed && listed.count(key) == 0) {
+      ended.push_back(key);
     }
   }
-  for (const task_key& key : gone) {
-    task& one = mTasks.at(key);
-    End(key, one.mStopping ? one.mStopOutcome : attempt_outcome::Lost, aNow);
+  for (const task_key& key : ended) {
+    task& tracked = mTasks.at(key);
+    End(key,
+        tracked.mStopping ? tracked.mStopOutcome : attempt_outcome::Lost,
+        aNow);
   }
 }
 
 // Tells the task's entry once when its progress shows that it cannot end in
 // its time here. A faster backend server still may.
 void
-task_executor::NoticeProgress(task& aTask, uint32_t aPercent, instant aNow)
+task_executor::OnProgress(task& aTask, uint32_t aPercent, instant aNow)
 {
   duration ran = aNow - aTask.mStartSentAt;
   aTask.mPercent = aPercent;
   aTask.mPercentAt = aNow;
-  bool early = ran < kFirstForecastAfter || aPercent < kFirstForecastPercent;
+  bool early = ran < kMinProgressTime || aPercent < kMinProgressPercent;
   if (early || aTask.mSlowReported || aTask.mStopping) {
     return;
   }
@@ -207,12 +211,12 @@
     return;
   }
   aTask.mSlowReported = true;
-  auto owner = mEntries.find(aTask.mOwner);
-  if (owner == mEntries.end()) {
+  auto entry = mEntries.find(aTask.mEntry);
+  if (entry == mEntries.end()) {
     return;
   }
   const task_key& key = aTask.mKey;
-  owner->second.mTooSlow.emplace_back(uint32_t(key.mJob >> 32),
+  entry->second.mTooSlow.emplace_back(uint32_t(key.mJob >> 32),
                                       uint32_t(key.mJob),
                                       key.mStep,
                                       key.mIndex,
@@ -221,13 +225,13 @@
 }
 
 void
-task_executor::CheckIncarnation(int64_t aBornMs, instant aNow)
+task_executor::CheckIncarnation(int64_t aStartTimeMs, instant aNow)
 {
-  if (aBornMs == 0 || aBornMs == mServerStartTimeMs) {
+  if (aStartTimeMs == 0 || aStartTimeMs == mServerStartTimeMs) {
     return;
   }
   bool first = mServerStartTimeMs == 0;
-  mServerStartTimeMs = aBornMs;
+  mServerStartTimeMs = aStartTimeMs;
   mLastEndSeen = 0;
   if (first) {
     return;
@@ -245,13 +249,13 @@
 void
 task_executor::EndAllStarted(attempt_outcome aOutcome, instant aNow)
 {
-  std::vector<task_key> ordered;
-  for (const auto& [key, one] : mTasks) {
-    if (one.mState != task_state::Queued) {
-      ordered.push_back(key);
+  std::vector<task_key> started;
+  for (const auto& [key, tracked] : mTasks) {
+    if (tracked.mState != task_state::Queued) {
+      started.push_back(key);
     }
   }
-  for (const task_key& key : ordered) {
+  for (const task_key& key : started) {
     End(key, aOutcome, aNow);
   }
 }
@@ -289,7 +293,7 @@
   auto ranMs = double(ToMs(aNow - aTask.mStartSentAt));
   mMeanRunMs = mMeanRunMs == 0
                  ? ranMs
-                 : kLearnDecay * mMeanRunMs + (1 - kLearnDecay) * ranMs;
+                 : kMeanRunDecay * mMeanRunMs + (1 - kMeanRunDecay) * ranMs;
   // Entries forecast run times from this speed; against their forecasts it
   // would drift together with them.
   bool startedCold = aTask.mStartSentAt < mColdUntil;
@@ -308,7 +312,7 @@
 // A cold backend server is slow for a while, by how much only its tasks show.
 // What was learned of it while warm holds again afterwards.
 void
-task_executor::NoticeCold(instant aNow)
+task_executor::CheckCold(instant aNow)
 {
   bool cold = aNow < mColdUntil;
   if (cold == mCold) {
--- a/cactusmast/task_executor_restore.cc
+++ b/cactusmast/task_executor_restore.cc
@@ -12,10 +12,11 @@
 task_executor::OnServerRestored(const server_announcement& aServer,
                                 instant aNow)
 {
-  bool otherLife =
+  bool otherIncarnation =
     mServerStartTimeMs != 0 && mServerStartTimeMs != aServer.mStartTimeMs;
-  bool used = mMechanisms.Has(mechanism::ServerRecall);
-  if (!used || mAnnounced || aServer.mStartTimeMs == 0 || otherLife) {
+  bool enabled = mMechanisms.Has(mechanism::ServerRecall);
+  if (!enabled || mServerKnown || aServer.mStartTimeMs == 0 ||
+      otherIncarnation) {
     return;
   }
   SetServer(aServer);
@@ -32,7 +33,7 @@
 const server_announcement*
 task_executor::Announcement() const
 {
-  return mAnnounced && !IsRestored() ? &mServer : nullptr;
+  return mServerKnown && !IsRestored() ? &mServer : nullptr;
 }
 
 // Another life may be of another size, or of another service: tasks sized for
@@ -56,7 +57,7 @@
   mEvents.Emit(event_code::BackendRecalled,
                { { "server", mServer.mId }, { "outcome", aReason } });
   mRestoredUntil = instant(0);
-  mAnnounced = false;
+  mServerKnown = false;
   mRunner.ExpectInstance("");
   ReturnQueued(attempt_outcome::Unusable, aNow);
   MarkChanged();
--- a/cactusmast/task_executor_starts.cc
+++ b/cactusmast/task_executor_starts.cc
@@ -34,13 +34,13 @@
 void
 task_executor::SendStart(const task& aTask, instant aNow)
 {
-  start_request order;
-  order.mTask = aTask.mKey;
-  order.mRunNumber = aTask.mRunNumber;
-  order.mSpec = *aTask.mSpec;
-  order.mLeaseUntilMs = ExtendLease(aNow);
-  order.mFencingToken = mFencingToken;
-  mRunner.Start(order);
+  start_request request;
+  request.mTask = aTask.mKey;
+  request.mRunNumber = aTask.mRunNumber;
+  request.mSpec = *aTask.mSpec;
+  request.mLeaseUntilMs = ExtendLease(aNow);
+  request.mFencingToken = mFencingToken;
+  mRunner.Start(request);
 }
 
 void
@@ -74,7 +74,7 @@
 
 void
 task_executor::OnStartReply(const task_key& aTask,
-                            uint32_t aRun,
+                            uint32_t aRunNumber,
                             start_result aResult,
                             int64_t aClockMs,
                             instant aNow)
@@ -84,73 +84,74 @@
     mClockKnown = true;
   }
   auto found = mTasks.find(aTask);
-  bool current = found != mTasks.end() && found->second.mRunNumber == aRun &&
+  bool current = found != mTasks.end() &&
+                 found->second.mRunNumber == aRunNumber &&
                  (found->second.mState == task_state::Starting ||
                   found->second.mState == task_state::InDoubt);
   if (!current) {
     return;
   }
-  task& one = found->second;
+  task& tracked = found->second;
   if (aResult != start_result::Started) {
     mEvents.Emit(
       event_code::StartNotMade,
       { { "task",
           FormatJobId(aTask.mJob) + "." + std::to_string(aTask.mIndex) },
-        { "run", std::to_string(aRun) },
+        { "run", std::to_string(aRunNumber) },
         { "result", std::string(Name(aResult)) },
-        { "unanswered_before", std::to_string(one.mResends) } });
+        { "unanswered_before", std::to_string(tracked.mResends) } });
   }
   switch (aResult) {
     case start_result::Started:
-      one.mState = task_state::Running;
-      one.mConfirmedAt = aNow;
+      tracked.mState = task_state::Running;
+      tracked.mConfirmedAt = aNow;
       return;
     case start_result::LeaseOver:
-      RetryStart(one, aNow);
+      RetryStart(tracked, aNow);
       return;
     case start_result::OldRun:
-      if (one.mResends > 0) {
+      if (tracked.mResends > 0) {
         // The unanswered order was carried out and has ended; the next look
         // says how.
-        one.mState = task_state::Running;
-        one.mConfirmedAt = aNow;
+        tracked.mState = task_state::Running;
+        tracked.mConfirmedAt = aNow;
         return;
       }
-      one.mRunNumber = one.mRunNumber * 2 + 1;
-      RetryStart(one, aNow);
+      tracked.mRunNumber = tracked.mRunNumber * 2 + 1;
+      RetryStart(tracked, aNow);
       return;
     case start_result::FencedOff:
       mFencingToken += kFencingTokenStep;
-      RetryStart(one, aNow);
+      RetryStart(tracked, aNow);
       return;
     case start_result::NoRoom:
-      GiveUpStart(one, attempt_outcome::NoRoom, aNow);
+      GiveUpStart(tracked, attempt_outcome::NoRoom, aNow);
       return;
     case start_result::Unhealthy:
     case start_result::OtherIncarnation:
     case start_result::Unreachable:
       RecordFailure(aNow);
-      GiveUpStart(one, attempt_outcome::Unusable, aNow);
+      GiveUpStart(tracked, attempt_outcome::Unusable, aNow);
       return;
     case start_result::Malformed:
-      GiveUpStart(one, attempt_outcome::Failed, aNow);
+      GiveUpStart(tracked, attempt_outcome::Failed, aNow);
       return;
     case start_result::NoAnswer:
     case start_result::Count:
       break;
   }
-  if (one.mSeenRunning) {
-    one.mState = task_state::Running;
-    one.mConfirmedAt = aNow;
+  if (tracked.mSeenRunning) {
+    tracked.mState = task_state::Running;
+    tracked.mConfirmedAt = aNow;
     return;
   }
-  bool repeats = !one.mStopping && mReachable && !IsEvacuated();
-  if (repeats && ++one.mResends <= kMaxStartResends) {
-    SendStart(one, aNow);
+  bool mayResend = !tracked.mStopping && mReachable && !IsEvacuated();
+  if (mayResend && ++tracked.mResends <= kMaxStartResends) {
+    SendStart(tracked, aNow);
     return;
   }
-  one.mResends++;
-  GiveUpStart(one, attempt_outcome::Lost, aNow);
+  tracked.mResends++;
+  GiveUpStart(tracked, attempt_outcome::Lost, aNow);
 }
 
 void
@@ -161,31 +162,32 @@
   }
   aTask.mStopping = true;
   aTask.mStopOutcome = aOutcome;
-  aTask.mNextStop = aNow + kStopRetry;
+  aTask.mNextStop = aNow + kStopRetryInterval;
   SendStop(aTask.mKey, aTask.mRunNumber);
 }
 
 void
-task_executor::SendStop(const task_key& aTask, uint32_t aRun)
+task_executor::SendStop(const task_key& aTask, uint32_t aRunNumber)
 {
-  stop_request order;
-  order.mTask = aTask;
-  order.mRunNumber = aRun;
-  order.mFencingToken = mFencingToken;
-  mRunner.Stop(order);
+  stop_request request;
+  request.mTask = aTask;
+  request.mRunNumber = aRunNumber;
+  request.mFencingToken = mFencingToken;
+  mRunner.Stop(request);
 }
 
 void
 task_executor::OnStopReply(const task_key& aTask,
-                           uint32_t aRun,
-                           bool aAnswered,
+                           uint32_t aRunNumber,
+                           bool aAcknowledged,
                            instant aNow)
 {
   auto found = mTasks.find(aTask);
-  if (!aAnswered || found == mTasks.end() || found->second.mRunNumber != aRun) {
+  if (!aAcknowledged || found == mTasks.end() ||
+      found->second.mRunNumber != aRunNumber) {
     return;
   }
-  found->second.mStopAnswered = true;
+  found->second.mStopAcknowledged = true;
   found->second.mConfirmedAt = aNow;
   mNextPoll = aNow;
 }
--- a/cactusmast/testing/task_executor_test.cc
+++ b/cactusmast/testing/task_executor_test.cc
@@ -14,34 +14,40 @@
 class scripted_runner : public backend_runner
 {
 public:
-  void Start(const start_request& aOrder) override
+  void Start(const start_request& aRequest) override
   {
-    mStarts.push_back(aOrder);
+    mStarts.push_back(aRequest);
+  }
+  void Stop(const stop_request& aRequest) override
+  {
+    mStops.push_back(aRequest);
+  }
+  void Poll(const poll_request& aRequest) override
+  {
+    mPolls.push_back(aRequest);
   }
-  void Stop(const stop_request& aOrder) override { mStops.push_back(aOrder); }
-  void Poll(const poll_request& aOrder) override { mLooks.push_back(aOrder); }
   void ExpectInstance(const std::string&) override {}
 
   std::vector<start_request> mStarts;
   std::vector<stop_request> mStops;
-  std::vector<poll_request> mLooks;
+  std::vector<poll_request> mPolls;
 };
 
 class recorded_links : public executor_links
 {
 public:
-  void Report(peer_id, const wire::server_report_msg& aSaid) override
+  void Report(peer_id, const wire::server_report_msg& aReport) override
   {
     mReports++;
-    for (const wire::task_end& end : aSaid.ends) {
+    for (const wire::task_end& end : aReport.ends) {
       mOutcomes.push_back(attempt_outcome(end.outcome()));
     }
   }
-  void Close(peer_id) override { mDrops++; }
+  void Close(peer_id) override { mClosedLinks++; }
 
   std::vector<attempt_outcome> mOutcomes;
   uint32_t mReports = 0;
-  uint32_t mDrops = 0;
+  uint32_t mClosedLinks = 0;
 };
 
 // An executor whose backend server is known.
@@ -53,76 +59,78 @@
     mExecutor.OnEntryUp(1, "entry", mNow);
     Announce(0);
     mExecutor.Tick(mNow);
-    Look({}, {});
+    ReplyToPoll({}, {});
   }
 
   void Announce(uint32_t aColdLeftMs)
   {
-    server_announcement said;
-    said.mId = "i-1";
-    said.mService = "s";
-    said.mStartTimeMs = 5;
-    said.mSequence = ++mSequence;
-    said.mColdLeftMs = aColdLeftMs;
-    said.mCapacity = { 32000, 1000, 0 };
-    mExecutor.OnAnnouncement(said, mNow);
+    server_announcement announcement;
+    announcement.mId = "i-1";
+    announcement.mService = "s";
+    announcement.mStartTimeMs = 5;
+    announcement.mSequence = ++mSequence;
+    announcement.mColdLeftMs = aColdLeftMs;
+    announcement.mCapacity = { 32000, 1000, 0 };
+    mExecutor.OnAnnouncement(announcement, mNow);
   }
 
   // Tasks one after the other, each declared at 60 ms.
-  void RunTasks(int aCount, duration aEach)
+  void RunTasks(int aCount, duration aRunTime)
   {
     for (int i = 0; i < aCount; i++) {
-      Order();
-      Pass(milliseconds(1));
+      Dispatch();
+      Advance(milliseconds(1));
       const start_request started = mRunner.mStarts.back();
-      Answer(start_result::Started);
-      PassInSilence(aEach, { { started.mTask, started.mRunNumber, 50 } });
+      ReplyToStart(start_result::Started);
+      AdvanceWithoutHeartbeat(aRunTime,
+                              { { started.mTask, started.mRunNumber, 50 } });
       ended_task end{
         ++mEnds, started.mTask, started.mRunNumber, end_kind::Done
       };
       mNow += milliseconds(1);
       mExecutor.Tick(mNow);
-      Look({}, { end });
+      ReplyToPoll({}, { end });
     }
   }
 
   // One task, ordered by the entry. aKnown: what it says of evacuations.
-  void Order(const evacuation_tracker* aKnown = nullptr)
+  void Dispatch(const evacuation_tracker* aEvacuations = nullptr)
   {
-    wire::start_tasks_msg order;
-    if (aKnown != nullptr) {
-      order.evacuating = EncodeEvacuations(*aKnown, mNow);
+    wire::start_tasks_msg dispatch;
+    if (aEvacuations != nullptr) {
+      dispatch.evacuating = EncodeEvacuations(*aEvacuations, mNow);
     }
-    order.offer = 1;
-    order.job = 7;
-    order.cpu_millis = 3000;
-    order.estimate_ms = 60;
-    order.start_within_ms = 40;
-    order.stop_after_ms = 1500;
-    order.tasks.emplace_back(0, 1);
-    mExecutor.OnStartTasks(1, order, mNow);
+    dispatch.offer = 1;
+    dispatch.job = 7;
+    dispatch.cpu_millis = 3000;
+    dispatch.estimate_ms = 60;
+    dispatch.start_within_ms = 40;
+    dispatch.stop_after_ms = 1500;
+    dispatch.tasks.emplace_back(0, 1);
+    mExecutor.OnStartTasks(1, dispatch, mNow);
   }
 
-  void Answer(start_result aResult)
+  void ReplyToStart(start_result aResult)
   {
-    const start_request order = mRunner.mStarts.back();
-    mExecutor.OnStartReply(order.mTask, order.mRunNumber, aResult, 0, mNow);
-    Pass(milliseconds(1));
+    const start_request request = mRunner.mStarts.back();
+    mExecutor.OnStartReply(request.mTask, request.mRunNumber, aResult, 0, mNow);
+    Advance(milliseconds(1));
   }
 
-  void Look(std::vector<running_task> aRunning, std::vector<ended_task> aEnded)
+  void ReplyToPoll(std::vector<running_task> aRunning,
+                   std::vector<ended_task> aEnded)
   {
-    REQUIRE(!mRunner.mLooks.empty());
-    server_snapshot seen;
-    seen.mClockMs = 1000;
-    seen.mStartTimeMs = 5;
-    seen.mRunning = std::move(aRunning);
-    seen.mEnded = std::move(aEnded);
+    REQUIRE(!mRunner.mPolls.empty());
+    server_snapshot snapshot;
+    snapshot.mClockMs = 1000;
+    snapshot.mStartTimeMs = 5;
+    snapshot.mRunning = std::move(aRunning);
+    snapshot.mEnded = std::move(aEnded);
     mExecutor.OnPollReply(
-      mRunner.mLooks.back().mNumber, poll_result::Ok, seen, mNow);
+      mRunner.mPolls.back().mNumber, poll_result::Ok, snapshot, mNow);
   }
 
-  void Pass(duration aSpan)
+  void Advance(duration aSpan)
   {
     mNow += aSpan;
     mExecutor.OnHeartbeat(1, mNow);
@@ -130,13 +138,14 @@
   }
 
   // The entry says nothing; looks are answered.
-  void PassInSilence(duration aSpan, const std::vector<running_task>& aRunning)
+  void AdvanceWithoutHeartbeat(duration aSpan,
+                               const std::vector<running_task>& aRunning)
   {
     instant end = mNow + aSpan;
     while (mNow < end) {
       mNow += milliseconds(10);
       mExecutor.Tick(mNow);
-      Look(aRunning, {});
+      ReplyToPoll(aRunning, {});
     }
   }
 
@@ -154,7 +163,7 @@
 {
   started_task()
   {
-    Order();
+    Dispatch();
     mExecutor.Tick(mNow);
     REQUIRE(mRunner.mStarts.size() == 1);
   }
@@ -175,18 +184,18 @@
   // reads the old order and right behind it the withdrawal; if it started the
   // task in between, it would run on two backend servers at a time.
   known_server withdrawn;
-  withdrawn.Order();
+  withdrawn.Dispatch();
   wire::stop_tasks_msg stop;
   stop.job = 7;
   stop.indexes.push_back(0);
   withdrawn.mExecutor.OnStopTasks(1, stop, withdrawn.mNow);
-  withdrawn.Pass(milliseconds(1));
+  withdrawn.Advance(milliseconds(1));
   CHECK(withdrawn.mRunner.mStarts.empty());
 
   known_server closed;
-  closed.Order();
+  closed.Dispatch();
   closed.mExecutor.OnEntryDown(1, closed.mNow);
-  closed.Pass(milliseconds(1));
+  closed.Advance(milliseconds(1));
   CHECK(closed.mRunner.mStarts.empty());
 }
 
@@ -195,14 +204,14 @@
   // The same standstill, but a look was under way: its answer has arrived as
   // well, and the executor reads it before it comes to the withdrawal.
   known_server world;
-  world.Pass(milliseconds(20)); // a look is under way
-  world.Order();
-  world.Look({}, {});
+  world.Advance(milliseconds(20)); // a look is under way
+  world.Dispatch();
+  world.ReplyToPoll({}, {});
   wire::stop_tasks_msg stop;
   stop.job = 7;
   stop.indexes.push_back(0);
   world.mExecutor.OnStopTasks(1, stop, world.mNow);
-  world.Pass(milliseconds(1));
+  world.Advance(milliseconds(1));
   CHECK(world.mRunner.mStarts.empty());
 }
 
@@ -214,7 +223,7 @@
       continue;
     }
     started_task world;
-    world.Answer(result);
+    world.ReplyToStart(result);
     REQUIRE(world.mLinks.mOutcomes.size() == 1);
     CHECK(NeverStarted(world.mLinks.mOutcomes[0]));
   }
@@ -229,16 +238,16 @@
   for (start_result result : kNotStarted) {
     CAPTURE(int(result));
     started_task world;
-    world.Answer(start_result::NoAnswer);
+    world.ReplyToStart(start_result::NoAnswer);
     REQUIRE(world.mRunner.mStarts.size() == 2);
     CHECK(world.mRunner.mStarts[1].mRunNumber ==
           world.mRunner.mStarts[0].mRunNumber);
-    world.Answer(result);
+    world.ReplyToStart(result);
     CHECK(world.mLinks.mOutcomes.empty());
     CHECK(world.mRunner.mStops.size() == 1);
     // Nothing answers any more: every lease that was asked for ends.
     for (int i = 0; i < 100; i++) {
-      world.Pass(milliseconds(10));
+      world.Advance(milliseconds(10));
     }
     REQUIRE(world.mLinks.mOutcomes.size() == 1);
     CHECK(world.mLinks.mOutcomes[0] == attempt_outcome::Lost);
@@ -251,17 +260,17 @@
   // has ended when the repeat arrives. Starting it anew under another number
   // would run a user's order twice.
   started_task world;
-  world.Answer(start_result::NoAnswer);
-  world.Answer(start_result::OldRun);
+  world.ReplyToStart(start_result::NoAnswer);
+  world.ReplyToStart(start_result::OldRun);
   CHECK(world.mRunner.mStarts.size() == 2);
-  world.Pass(milliseconds(20)); // a look is under way by then
+  world.Advance(milliseconds(20)); // a look is under way by then
   ended_task end;
   end.mNumber = 1;
   end.mTask = world.mRunner.mStarts[0].mTask;
   end.mRunNumber = world.mRunner.mStarts[0].mRunNumber;
   end.mHow = end_kind::Done;
-  world.Look({}, { end });
-  world.Pass(milliseconds(1));
+  world.ReplyToPoll({}, { end });
+  world.Advance(milliseconds(1));
   REQUIRE(world.mLinks.mOutcomes.size() == 1);
   CHECK(world.mLinks.mOutcomes[0] == attempt_outcome::Done);
 }
@@ -269,21 +278,21 @@
 TEST_CASE("an entry without tasks here may be silent as long as it likes")
 {
   known_server world;
-  world.PassInSilence(seconds(20), {});
-  CHECK(world.mLinks.mDrops == 0);
+  world.AdvanceWithoutHeartbeat(seconds(20), {});
+  CHECK(world.mLinks.mClosedLinks == 0);
 }
 
 TEST_CASE("an entry that falls silent with a task here loses it in time")
 {
   // Guards against a task that runs on while its caller sends the job again.
   started_task world;
-  world.Answer(start_result::Started);
+  world.ReplyToStart(start_result::Started);
   running_task run{ { 7, 0, 0 }, 1, 10 };
-  world.PassInSilence(kEntryTimeout - milliseconds(20), { run });
-  CHECK(world.mLinks.mDrops == 0);
+  world.AdvanceWithoutHeartbeat(kEntryTimeout - milliseconds(20), { run });
+  CHECK(world.mLinks.mClosedLinks == 0);
   CHECK(world.mRunner.mStops.empty());
-  world.PassInSilence(milliseconds(40), { run });
-  CHECK(world.mLinks.mDrops == 1);
+  world.AdvanceWithoutHeartbeat(milliseconds(40), { run });
+  CHECK(world.mLinks.mClosedLinks == 1);
   CHECK(world.mRunner.mStops.size() == 1);
 }
 
@@ -293,12 +302,12 @@
   world.mExecutor.Tick(world.mNow);
   uint32_t atFirst = world.mLinks.mReports;
   CHECK(atFirst > 0);
-  world.PassInSilence(seconds(5), {});
+  world.AdvanceWithoutHeartbeat(seconds(5), {});
   CHECK(world.mLinks.mReports == atFirst);
   world.mExecutor.OnSubscription(1, true, world.mNow);
-  world.PassInSilence(milliseconds(10), {});
+  world.AdvanceWithoutHeartbeat(milliseconds(10), {});
   CHECK(world.mLinks.mReports == atFirst + 1);
-  world.PassInSilence(milliseconds(10050), {});
+  world.AdvanceWithoutHeartbeat(milliseconds(10050), {});
   CHECK(world.mLinks.mReports == atFirst + 11);
 }
 
@@ -306,10 +315,10 @@
 {
   // Guards against jobs that lose the time in which they could run elsewhere.
   known_server told;
-  told.Order();
+  told.Dispatch();
   told.mExecutor.OnEvacuations(evacuation_update{ { 2, { "a" } }, told.mNow },
                                told.mNow);
-  told.Pass(milliseconds(1));
+  told.Advance(milliseconds(1));
   CHECK(told.mRunner.mStarts.empty());
   REQUIRE(told.mLinks.mOutcomes.size() == 1);
   CHECK(told.mLinks.mOutcomes[0] == attempt_outcome::Draining);
@@ -321,8 +330,8 @@
   known_server world;
   evacuation_tracker sender;
   sender.Update({ { 2, { "a" } }, world.mNow });
-  world.Order(&sender);
-  world.Pass(milliseconds(1));
+  world.Dispatch(&sender);
+  world.Advance(milliseconds(1));
   CHECK(world.mRunner.mStarts.empty());
   REQUIRE(world.mLinks.mOutcomes.size() == 1);
   CHECK(world.mLinks.mOutcomes[0] == attempt_outcome::Draining);
@@ -335,14 +344,14 @@
   started_task world;
   world.mExecutor.OnEvacuations(evacuation_update{ { 2, { "a" } }, world.mNow },
                                 world.mNow);
-  world.Answer(start_result::NoAnswer);
+  world.ReplyToStart(start_result::NoAnswer);
   CHECK(world.mRunner.mStarts.size() == 1);
   CHECK(world.mRunner.mStops.size() == 1);
 
   started_task refused;
   refused.mExecutor.OnEvacuations(
     evacuation_update{ { 2, { "a" } }, refused.mNow }, refused.mNow);
-  refused.Answer(start_result::FencedOff);
+  refused.ReplyToStart(start_result::FencedOff);
   CHECK(refused.mRunner.mStarts.size() == 1);
   REQUIRE(refused.mLinks.mOutcomes.size() == 1);
   CHECK(refused.mLinks.mOutcomes[0] == attempt_outcome::Draining);
@@ -360,7 +369,7 @@
   CHECK(world.mExecutor.Slowness() == doctest::Approx(warm));
   world.RunTasks(5, milliseconds(240));
   CHECK(world.mExecutor.Slowness() > 2);
-  world.PassInSilence(milliseconds(500), {});
+  world.AdvanceWithoutHeartbeat(milliseconds(500), {});
   CHECK(world.mExecutor.Slowness() == doctest::Approx(warm));
   world.RunTasks(10, milliseconds(60));
   CHECK(world.mExecutor.Slowness() < 1.2);
