--- a/cactusmast/announcement_codec.h
+++ b/cactusmast/announcement_codec.h
@@ -1,5 +1,5 @@
-// How backend servers announce themselves on the wire; an adapter implements
-// it for its platform.
+// Decodes the announcements of backend servers; an adapter implements it for
+// its platform.
 
 #ifndef CACTUSMAST_ANNOUNCEMENT_CODEC_H_
 #define CACTUSMAST_ANNOUNCEMENT_CODEC_H_
@@ -14,22 +14,22 @@
 enum class announcement_kind : uint8_t
 {
   Present,
-  Withdrawn, // it ends now
+  Withdrawn, // it deregisters because it is about to exit
   Count
 };
 
 struct decoded_announcement
 {
   announcement_kind mKind = announcement_kind::Present;
-  server_announcement mServer; // only the identity when it is leaving
+  server_announcement mServer; // if Withdrawn, only mId is set
 };
 
 class announcement_codec
 {
 public:
   virtual ~announcement_codec() = default;
-  // Errors: NotFound for another path, BadRequest for what cannot be read or
-  // names a state that is not known.
+  // Errors: NotFound for any other path, BadRequest for a body that cannot be
+  // parsed or that names an unknown state.
   virtual result<decoded_announcement> Decode(
     const std::string& aMethod,
     const std::string& aPath,
--- a/cactusmast/backend_runner.h
+++ b/cactusmast/backend_runner.h
@@ -1,10 +1,10 @@
-// What an executor needs of the backend server beside it: to start, stop and
-// list tasks. An adapter implements the port over the backend server's own
-// protocol, a test with a fake.
+// The port through which an executor starts, stops and lists tasks on the
+// backend server beside it. An adapter implements it over the backend server's
+// own protocol; tests implement it with a fake.
 //
-// Everything that runs holds one lease that each start and each look extends.
-// It ends by the backend server's own clock, so a backend server that its
-// executor lost ends what it runs by itself.
+// All running tasks share one lease that each start request and each poll
+// extends. The lease expires by the backend server's own clock, so a backend
+// server that has lost its executor ends its tasks by itself.
 
 #ifndef CACTUSMAST_BACKEND_RUNNER_H_
 #define CACTUSMAST_BACKEND_RUNNER_H_
@@ -21,10 +21,10 @@
 struct start_request
 {
   task_key mTask;
-  uint32_t mRunNumber = 0; // tells the starts of one task apart; only grows
+  uint32_t mRunNumber = 0; // increases with every start of the task
   std::string mSpec;
   int64_t mLeaseUntilMs = 0;  // on the backend server's clock
-  uint64_t mFencingToken = 0; // fencing token: lower ones are refused for good
+  uint64_t mFencingToken = 0; // lower ones are refused from then on
 };
 
 struct stop_request
@@ -36,36 +36,39 @@
 
 struct poll_request
 {
-  uint64_t mNumber = 0;      // comes back with the answer
-  int64_t mLeaseUntilMs = 0; // 0: the lease is left as it is
+  uint64_t mNumber = 0;      // returned with the reply
+  int64_t mLeaseUntilMs = 0; // on its clock; 0: the lease is not extended
   uint64_t mFencingToken = 0;
-  uint64_t mLastEndSeen = 0; // ends up to this one need not be listed again
-  uint32_t mWaitMs = 0;      // the answer waits this long for an end
+  uint64_t mLastEndSeen = 0; // ends up to this number are not listed again
+  // The reply is delayed until a task ends, by this much at most.
+  uint32_t mWaitMs = 0;
 };
 
 enum class start_result : uint8_t
 {
   Started,
-  LeaseOver,        // the lease in the order had ended when it arrived
-  NoRoom,           // the backend server's own check found no room
-  OldRun,           // this run or a later one was stopped or ended before
-  FencedOff,        // a greater fencing token was seen
-  Unhealthy,        // refused by an ill backend server, which has done nothing
-  OtherIncarnation, // another life of the backend server answered; nothing done
-  Malformed,        // the order can never be carried out
+  LeaseOver,        // the request's lease had expired when it arrived
+  NoRoom,           // the backend server found too little free capacity
+  OldRun,           // this run number or a later one was stopped or has ended
+  FencedOff,        // the backend server has seen a greater fencing token
+  Unhealthy,        // the backend server is unhealthy; it did nothing
+  OtherIncarnation, // another incarnation replied; it did nothing
+  Malformed,        // the request can never be carried out
   Unreachable,      // no connection was made, so nothing was sent
-  NoAnswer,         // may be carried out, now or seconds later
+  NoAnswer,         // in doubt: may be carried out now or seconds later
   Count
 };
 
+// As used in log fields.
 std::string_view
 Name(start_result aResult);
 
 enum class poll_result : uint8_t
 {
   Ok,
-  FencedOff, // a greater fencing token was seen; nothing done
-  NoAnswer,  // may have been carried out
+  FencedOff, // the backend server has seen a greater fencing token; it did
+             // nothing
+  NoAnswer,  // in doubt: may have been carried out
   Count
 };
 
@@ -73,7 +76,7 @@
 {
   task_key mTask;
   uint32_t mRunNumber = 0;
-  uint32_t mPercent = 0; // of its work
+  uint32_t mPercent = 0; // progress
 };
 
 enum class end_kind : uint8_t
@@ -81,39 +84,41 @@
   Done,
   Failed,
   Stopped,
-  Lapsed, // its lease ended
+  Lapsed, // its lease expired
   Other,
   Count
 };
 
 struct ended_task
 {
-  uint64_t mNumber = 0; // counts the ends of one life of the backend server
+  // Sequence number of the end within one incarnation of the backend server.
+  uint64_t mNumber = 0;
   task_key mTask;
   uint32_t mRunNumber = 0;
   end_kind mHow = end_kind::Other;
 };
 
-// One look at all that a backend server runs.
+// The reply to a poll: all that a backend server runs, and what has ended.
 struct server_snapshot
 {
-  int64_t mClockMs = 0;
-  int64_t mStartTimeMs = 0; // start of this life; 0 when it does not say
+  int64_t mClockMs = 0;     // the backend server's clock
+  int64_t mStartTimeMs = 0; // start of this incarnation; 0: not reported
   std::vector<running_task> mRunning;
   std::vector<ended_task> mEnded;
-  // Names in either list that are none of ours.
+  // Number of running tasks whose names are not task names of this system.
   uint32_t mForeignRunning = 0;
 };
 
-// The backend server's announcement of itself.
+// How a backend server makes itself known.
 struct server_announcement
 {
-  std::string mId;
+  std::string mId; // of the instance
   std::string mService;
-  int64_t mStartTimeMs = 0;
-  uint64_t mSequence = 0;
+  int64_t mStartTimeMs = 0; // names the incarnation
+  uint64_t mSequence = 0; // increases with each announcement of an incarnation
   bool mDraining = false;
-  uint32_t mColdLeftMs = 0; // it stays slow for this long after its start
+  uint32_t mColdLeftMs =
+    0; // remaining time for which it is slow after its start
   resources mCapacity;
   std::vector<std::string> mLabels;
 };
@@ -122,12 +127,12 @@
 {
 public:
   virtual ~backend_runner() = default;
-  // The answers arrive through the executor's OnStartReply, OnStopReply and
-  // OnPollReply, each exactly once.
+  // Each request gets exactly one reply, through the executor's OnStartReply,
+  // OnStopReply or OnPollReply.
   virtual void Start(const start_request& aRequest) = 0;
   virtual void Stop(const stop_request& aRequest) = 0;
   virtual void Poll(const poll_request& aRequest) = 0;
-  // Names the life of the backend server that later orders are meant for.
+  // Names the instance that later requests are meant for; empty: any.
   virtual void ExpectInstance(const std::string& aServerId) = 0;
 };
 
--- a/cactusmast/task_executor.cc
+++ b/cactusmast/task_executor.cc
@@ -149,7 +149,7 @@
     return;
   }
   resources size{ aDispatch.cpu_millis, aDispatch.memory_mb, aDispatch.gpus };
-  // The same task under another order may still be being stopped here.
+  // An earlier attempt of the same task may still be being stopped here.
   if (mTasks.count(key) > 0 || !size.FitsIn(mServer.mCapacity)) {
     refuse(attempt_outcome::NoRoom);
     return;
@@ -157,7 +157,7 @@
   instant startBy = aNow + milliseconds(aDispatch.start_within_ms);
   if (mMechanisms.Has(mechanism::EarlyReturn) &&
       ExpectedStart(size, aNow) > startBy) {
-    // Told at once, the entry can still place it elsewhere in time.
+    // Refused at once, so that the entry can still place it elsewhere in time.
     refuse(attempt_outcome::NoRoom);
     return;
   }
@@ -202,7 +202,7 @@
 task_executor::OnAnnouncement(const server_announcement& aAnnouncement,
                               instant aNow)
 {
-  // An announcement may be delayed and arrive after that of a later life.
+  // A delayed announcement may arrive after that of a later incarnation.
   bool older =
     mServerKnown && (aAnnouncement.mStartTimeMs < mServer.mStartTimeMs ||
                      (aAnnouncement.mStartTimeMs == mServer.mStartTimeMs &&
@@ -350,7 +350,7 @@
   for (auto at = mQueue.begin(); at != mQueue.end();) {
     task& next = mTasks.at(at->second);
     if (!next.mSize.FitsIn(mFree)) {
-      // A smaller one behind it must not hold a large one up for ever.
+      // Smaller tasks behind a large one must not delay it for ever.
       return;
     }
     at = mQueue.erase(at);
@@ -416,7 +416,7 @@
 void
 task_executor::CheckEntryTimeouts(instant aNow)
 {
-  // An entry without tasks here has no reason to say anything.
+  // An entry without open tasks here need not send anything.
   std::set<peer_id> timedOut;
   for (const auto& [key, tracked] : mTasks) {
     bool needsEntry = tracked.mEntry != 0 && !tracked.mStopping;
@@ -473,10 +473,11 @@
   if (IsPollDue(aNow)) {
     SendPoll(aNow);
   }
-  // Tasks start here alone, because a tick comes once all that has arrived is
-  // read. A process that stood still finds an order, its withdrawal and the end
-  // of the connection in one go; starting as soon as the order or an answer of
-  // the backend server is read would run tasks whose job runs elsewhere by now.
+  // Tasks are only started here, because Tick is called after all input that
+  // has arrived is read. A process that was paused may find a dispatch, the
+  // stop of its tasks and the end of the connection together. Starting tasks as
+  // soon as the dispatch or a reply of the backend server is read would run
+  // tasks whose job runs elsewhere by now.
   StartQueuedTasks(aNow);
   SendReports(aNow);
 }
--- a/cactusmast/task_executor.h
+++ b/cactusmast/task_executor.h
@@ -1,23 +1,24 @@
-// The decisions of the process beside a backend server: the only one that
-// starts or stops anything there.
+// The core of the executor: the process beside a backend server, and the only
+// one that starts or stops tasks there.
 //
-// Entries order tasks of any size. The executor starts an order when there is
-// room, most urgent first, or says within the order's time that it did not.
+// Entries dispatch tasks of any size. The executor starts a task when there is
+// free capacity, most urgent first, or reports within the time given in the
+// dispatch that it did not start it.
 //
 // Invariants:
 // - The sizes of all tasks that may be running, those being stopped included,
-//   never exceed the backend server's capacity. While anything runs there that
-//   this executor did not start, nothing is started, because its size is not
-//   known.
-// - An attempt is reported exactly once over the connection that ordered it,
-//   and Done, Stopped and Lost are only reported when it runs no longer.
-// - Tasks of an entry that has been silent for kEntryTimeout are stopped, so
-//   that the caller may submit its job again elsewhere.
+//   never exceed the backend server's capacity. While a stray task runs there,
+//   one that this executor does not track, nothing is started, because its size
+//   is not known.
+// - An attempt is reported exactly once, over the connection that dispatched
+//   it. Done, Stopped and Lost are only reported once it no longer runs.
+// - Tasks of an entry that has sent nothing for kEntryTimeout are stopped, so
+//   that the caller may resubmit its job elsewhere.
 // - While the executor's data centre is being evacuated nothing is started;
-//   what runs is let finish.
-// - A start whose answer is missing is settled by a stop that is answered, by
-//   the end of every lease that was ever asked for, or by a new life of the
-//   backend server.
+//   running tasks are left to finish.
+// - A start request without a reply is in doubt. It is resolved by the reply to
+//   a stop request, by the expiry of every lease that was ever requested, or by
+//   a restart of the backend server.
 
 #ifndef CACTUSMAST_TASK_EXECUTOR_H_
 #define CACTUSMAST_TASK_EXECUTOR_H_
@@ -40,41 +41,46 @@
 
 using std::chrono::milliseconds;
 
-// An entry with tasks here shows every kHeartbeatInterval that it lives. After
-// kEntryTimeout they are stopped. Callers send a job again 1300 ms after they
-// lost its entry, which leaves time for the stop; three pulses may be late
-// before it comes to that.
+// An entry with open tasks here sends a heartbeat every kHeartbeatInterval. If
+// nothing comes from it for kEntryTimeout, its tasks are stopped. Callers
+// resubmit a job 1300 ms after they lost its entry, which leaves time for the
+// stop. Three heartbeats may be late before the timeout.
 constexpr duration kHeartbeatInterval = milliseconds(150);
 constexpr duration kEntryTimeout = milliseconds(550);
 
-// How long the backend server runs on without its executor. Short enough that
-// the tasks of an executor that was killed are over before its entries may
-// place them again; three looks fit in.
+// How long tasks run on without their executor. Short enough that the tasks of
+// an executor that was killed have ended before entries may place them again;
+// long enough for three polls.
 constexpr milliseconds kLeaseTime = milliseconds(500);
 constexpr milliseconds kMinPollWait = milliseconds(30);
 constexpr milliseconds kLongPollWait = milliseconds(100);
 constexpr milliseconds kIdlePollWait = milliseconds(200);
-// A look that is not answered this long after its wait is taken to be lost and
-// followed by another: while none is answered, ends and free room go unseen.
-// The answer comes from the same machine within 1 ms, unless
-// that is short of processor time.
+// A poll without a reply this long after its wait is taken to be lost, and
+// another is sent: without a reply, neither ends nor free capacity are known.
+// The reply comes from the same machine within 1 ms, unless that is short of
+// processor time.
 constexpr milliseconds kPollGrace = milliseconds(10);
-// A backend server's clock may be 2% slow; the rest is for the way there.
+// Covers a backend server's clock that is 2% slow, and the time that a request
+// takes to arrive.
 constexpr milliseconds kLeaseMargin = milliseconds(60);
 
+// The connections of an executor to entries, as its core needs them.
 class executor_links
+
 {
 public:
   virtual ~executor_links() = default;
   virtual void Report(peer_id aEntry,
                       const wire::server_report_msg& aReport) = 0;
-  // Closes a connection over which nothing has come for too long.
+  // Closes a connection that has timed out.
   virtual void Close(peer_id aEntry) = 0;
 };
 
 class task_executor
 {
 public:
+  // aFencingToken: should be greater than that of any earlier executor of the
+  // same backend server; if it is not, it is raised as requests are refused.
   task_executor(uint64_t aFencingToken,
                 std::string aService,
                 std::string aDataCenter,
@@ -86,13 +92,14 @@
   void OnEntryUp(peer_id aEntry, const std::string& aName, instant aNow);
   void OnEntryDown(peer_id aEntry, instant aNow);
   void OnHeartbeat(peer_id aEntry, instant aNow);
-  // Whether the entry wants a report of each change of room.
+  // aWanted: whether the entry wants a report of each change of free capacity.
   void OnSubscription(peer_id aEntry, bool aWanted, instant aNow);
-  // What an entry or the store says of evacuations. True if it is news.
+  // An update from an entry or the store; empty: the sender knows nothing. True
+  // if other data centres are being evacuated now than before.
   bool OnEvacuations(const std::optional<evacuation_update>& aUpdate,
                      instant aNow);
-  // Whether the store is to be asked for evacuations: entries order tasks here
-  // that have not heard from it for long.
+  // Whether to read the evacuations from the store: entries dispatch tasks
+  // here, but none of them has had an update from the store for long.
   bool WantsEvacuations(instant aNow) const;
   void OnStartTasks(peer_id aEntry,
                     const wire::start_tasks_msg& aDispatch,
@@ -102,16 +109,17 @@
                    instant aNow);
 
   void OnAnnouncement(const server_announcement& aAnnouncement, instant aNow);
-  // What an earlier process here knew of the backend server, from the store.
-  // It stands in for an announcement until one comes, for kRestoredLifetime at
-  // most, and only if the backend server is still in the life that it names.
+  // The last announcement that an earlier executor process received, restored
+  // from the store. It is used until an announcement comes, for
+  // kRestoredLifetime at most, and only for the incarnation that it names.
   void OnServerRestored(const server_announcement& aServer, instant aNow);
-  // Null before the first announcement.
+  // The newest announcement. Null before the first one; a restored one does not
+  // count.
   const server_announcement* Announcement() const;
-  // The backend server says that it ends now.
+  // The backend server deregisters because it is about to exit.
   void OnWithdrawal(const std::string& aServerId, instant aNow);
 
-  // aClockMs: the backend server's clock, 0 when the answer has none.
+  // aClockMs: the backend server's clock; 0 if the reply does not contain it.
   void OnStartReply(const task_key& aTask,
                     uint32_t aRunNumber,
                     start_result aResult,
@@ -121,7 +129,7 @@
                    uint32_t aRunNumber,
                    bool aAcknowledged,
                    instant aNow);
-  // aSeen counts only when aResult is Ok.
+  // aSnapshot is only used if aResult is Ok.
   void OnPollReply(uint64_t aNumber,
                    poll_result aResult,
                    const server_snapshot& aSnapshot,
@@ -129,54 +137,57 @@
 
   void Tick(instant aNow);
 
-  // Nothing new is started from now on; what is queued goes back.
+  // From now on nothing is started; queued tasks are returned to their entries.
   void Drain(instant aNow);
   bool IsDrained() const { return mDraining && mTasks.empty(); }
 
   server_state State(instant aNow) const;
+  // Tasks that may be running, those with a start in doubt included.
   size_t Running() const { return mTasks.size() - mQueue.size(); }
   size_t Queued() const { return mQueue.size(); }
+  // Actual over declared run time: above 1 if slower than declared.
   double Slowness() const;
   const evacuation_tracker& Evacuations() const { return mEvacuations; }
+  // Capacity that no started task occupies.
   const resources& Free() const { return mFree; }
-  // Entries that want a report of each change of room.
+  // Entries that want a report of each change of free capacity.
   size_t SubscribedEntries() const;
 
 private:
   enum class task_state : uint8_t
   {
     Queued,
-    Starting, // ordered, not answered yet
+    Starting, // start request sent, no reply yet
     Running,
-    InDoubt // ordered, and the answer is missing
+    InDoubt // start request sent; the reply is missing
   };
 
   struct task
   {
     task_key mKey;
-    peer_id mEntry = 0; // 0: nobody is told any more
+    peer_id mEntry = 0; // that gets the report; 0: its connection is closed
     uint32_t mAttempt = 0;
     uint32_t mRunNumber = 0;
     std::shared_ptr<const std::string> mSpec;
     resources mSize;
     task_state mState = task_state::Queued;
-    uint32_t mEstimateMs = 0; // by its entry
-    uint32_t mDeclaredMs = 0; // by its caller
-    instant mUrgentAt{};
-    instant mStartBy{};
-    instant mStopBy{};
-    instant mStartSentAt{};
-    instant mConfirmedAt{}; // start or stop was answered; 0: neither
-    bool mSeenRunning = false;
-    uint32_t mPercent = 0; // of its work, when last seen
-    instant mPercentAt{};
+    uint32_t mEstimateMs = 0; // run time forecast by the entry
+    uint32_t mDeclaredMs = 0; // run time declared by the caller
+    instant mUrgentAt{};      // the earliest goes first
+    instant mStartBy{};       // if queued until then, it is returned
+    instant mStopBy{};        // if running then, it is stopped
+    instant mStartSentAt{};   // 0: not started
+    instant mConfirmedAt{}; // when its start or stop was confirmed; 0: neither
+    bool mSeenRunning = false; // listed by some poll reply
+    uint32_t mPercent = 0;     // progress in the last poll reply that listed it
+    instant mPercentAt{};      // when that reply came
     bool mSlowReported = false;
     bool mStopping = false;
     bool mStopAcknowledged = false;
-    instant mNextStop{};
+    instant mNextStop{}; // when the stop request is sent again
     attempt_outcome mStopOutcome = attempt_outcome::Stopped;
-    uint32_t mRetries = 0; // for reasons given
-    uint32_t mResends = 0; // orders that got no answer
+    uint32_t mRetries = 0; // new starts after a refusal
+    uint32_t mResends = 0; // start requests that got no reply
   };
 
   struct entry_link
@@ -187,10 +198,10 @@
     uint64_t mLastDispatchNumber = 0;
     std::vector<wire::task_end> mEnds;
     std::vector<wire::task_forecast> mTooSlow;
-    bool mChanged = true;
+    bool mChanged = true; // since the last report to it
     bool mSubscribed = false;
-    bool mReportRequested = true; // for a report at once
-    uint32_t mOpenTasks = 0;      // that it ordered and that have not ended
+    bool mReportRequested = true; // a report is due at once
+    uint32_t mOpenTasks = 0;      // that it dispatched and that have not ended
     server_state mReportedState = server_state::Absent;
   };
 
@@ -202,13 +213,13 @@
               const wire::task_attempt& aAttempt,
               const std::shared_ptr<const std::string>& aSpec,
               instant aNow);
-  // When another task of aSize would start, behind all that is queued.
+  // When another task of aSize would start, after all queued ones.
   instant ExpectedStart(const resources& aSize, instant aNow) const;
   instant ExpectedEnd(const task& aTask, instant aNow) const;
   resources MeanTaskSize() const;
   bool MayStart(instant aNow) const;
   bool IsEvacuated() const { return mEvacuations.Has(mDataCenter); }
-  // After an offer to mEvacuations; aBefore: IsEvacuated() until then.
+  // aWasEvacuated: IsEvacuated() before the change.
   void OnEvacuationsChanged(bool aWasEvacuated, instant aNow);
   void StartQueuedTasks(instant aNow);
   void BeginStart(task& aTask, instant aNow);
@@ -216,16 +227,16 @@
   void BeginStop(task& aTask, attempt_outcome aOutcome, instant aNow);
   void SendStop(const task_key& aTask, uint32_t aRunNumber);
   void SendPoll(instant aNow);
-  // How long the next look may wait for an end.
+  // How long the backend server may delay the reply to the next poll.
   milliseconds PollWait(instant aNow) const;
   void RetryStart(task& aTask, instant aNow);
   void GiveUpStart(task& aTask, attempt_outcome aWhy, instant aNow);
   void Requeue(task& aTask);
-  // Reports the attempt and forgets it.
+  // Reports the attempt and removes the task.
   void End(const task_key& aKey, attempt_outcome aOutcome, instant aNow);
   void EndAllStarted(attempt_outcome aOutcome, instant aNow);
   void ReturnQueued(attempt_outcome aOutcome, instant aNow);
-  // True when the backend server is set aside for a while.
+  // True if this failure starts or prolongs a quarantine of the backend server.
   bool RecordFailure(instant aNow);
   void UpdateEstimates(const task& aTask,
                        attempt_outcome aOutcome,
@@ -246,14 +257,14 @@
   bool IsPollDue(instant aNow) const;
   void CheckServerTimeout(instant aNow);
   void CheckLeaseExpiry(instant aNow);
-  // A report without what is the receiving entry's alone.
+  // A report without the fields that differ from entry to entry.
   wire::server_report_msg DescribeServer(instant aNow) const;
   void SendReports(instant aNow);
   bool IsReportDue(const entry_link& aEntry,
                    server_state aState,
                    duration aSpacing,
                    instant aNow) const;
-  // Between reports of changes to one entry.
+  // Minimum time between two reports of changes to one entry.
   duration ReportSpacing() const;
   int64_t ExtendLease(instant aNow);
   void MarkChanged();
@@ -270,40 +281,41 @@
   std::map<peer_id, entry_link> mEntries;
   task_map mTasks;
   std::set<queue_key> mQueue; // most urgent first
-  // Last run number of tasks that ended here lately.
+  // Last run numbers of tasks that ended here recently, and their keys in the
+  // sequence of the first end.
   std::map<task_key, uint32_t> mLastRunNumbers;
   std::vector<task_key> mLastRunOrder;
 
-  bool mServerKnown = false; // or recalled
-  instant mRestoredUntil{};  // zero: mServer is from an announcement
+  bool mServerKnown = false; // announced or restored
+  instant mRestoredUntil{};  // 0: mServer is from an announcement
   server_announcement mServer;
   resources mFree;
   bool mDraining = false;
   evacuation_tracker mEvacuations;
-  instant mLastDispatchAt{}; // when an entry last ordered a task
+  instant mLastDispatchAt{}; // when an entry last dispatched a task
 
   bool mClockKnown = false;
   int64_t mClockOffsetMs = 0; // the backend server's clock less ours
-  instant mLeaseEnd{};        // no lease that we asked for lasts longer
-  bool mReachable = false;
-  std::map<uint64_t, instant>
-    mPendingPolls;          // unanswered ones, by when they were sent
-  instant mPollTimeoutAt{}; // the newest one is late from then on
+  instant mLeaseEnd{}; // by our clock, all leases requested have expired then
+  bool mReachable = false; // it has replied to a poll within kServerTimeout
+  // By number: when each poll without a reply was sent.
+  std::map<uint64_t, instant> mPendingPolls;
+  instant mPollTimeoutAt{}; // of the newest poll
   instant mNextPoll{};
   uint64_t mLastPollNumber = 0;
-  uint64_t mNewestPollReply = 0; // number of the newest look that was answered
-  instant mLastPollReplyAt{};    // when that was
-  uint64_t mLastEndSeen = 0;
-  int64_t mServerStartTimeMs = 0;
-  bool mHasStrays = true; // unknown before the first look
-  std::map<task_key, instant> mStrayStops;
+  uint64_t mNewestPollReply = 0; // number of the newest poll with a reply
+  instant mLastPollReplyAt{};    // when that reply came
+  uint64_t mLastEndSeen = 0;     // number of the newest end of this incarnation
+  int64_t mServerStartTimeMs = 0; // names its incarnation; 0: not known
+  bool mHasStrays = true;         // assumed until the first poll reply
+  std::map<task_key, instant> mStrayStops; // when each is stopped again
 
   speed_estimate mSpeed;
   speed_estimate mColdSpeed; // while the backend server is cold
   bool mCold = false;
   instant mColdUntil{};
-  double mMeanRunMs = 0;
-  uint32_t mFailuresInRow = 0;
+  double mMeanRunMs = 0;       // 0: no task has succeeded yet
+  uint32_t mFailuresInRow = 0; // of tasks and starts
   instant mQuarantinedUntil{};
 };
 
--- a/cactusmast/task_executor_evacuation.cc
+++ b/cactusmast/task_executor_evacuation.cc
@@ -1,4 +1,4 @@
-// What an executor does while its data centre is being evacuated.
+// Evacuations of data centres at an executor.
 
 #include "cactusmast/task_executor.h"
 
@@ -35,7 +35,7 @@
     return;
   }
   if (IsEvacuated()) {
-    // At once, so that entries can still place them elsewhere in time.
+    // Returned at once, so that entries can still place them elsewhere in time.
     ReturnQueued(attempt_outcome::Draining, aNow);
   }
   MarkChanged();
--- a/cactusmast/task_executor_limits.h
+++ b/cactusmast/task_executor_limits.h
@@ -10,56 +10,63 @@
 
 using std::chrono::milliseconds;
 
-// Reports go out at once with ends, else when something changed, but to each of
-// n subscribed entries no more often than every n times this: 125 a second in
-// all, however many entries there are. An entry knows what it ordered itself,
-// and what others ordered reaches it with the ends of its own tasks as well;
+// Reports with ends are sent at once. Other changes are reported to each of n
+// subscribed entries at most once in n times this interval: 125 reports a
+// second in all, for any number of entries. An entry knows what it dispatched
+// itself and learns what others dispatched with the ends of its own tasks, and
 // each report costs it processor time.
 constexpr duration kReportSpacing = milliseconds(8);
-// To an entry with open tasks here, so that it can tell silence from calm.
+// Interval of reports to an entry with open tasks here, which lets it tell an
+// executor without changes from one that has failed.
 constexpr duration kKeepAliveReportInterval = milliseconds(150);
-// To a subscribed entry without any, whose belief about room is to be renewed.
+// Interval of reports to a subscribed entry without open tasks, which keep its
+// view of the free capacity up to date.
 constexpr duration kIdleReportInterval = milliseconds(1000);
-// An unanswered stop is repeated: it may have been lost, and its answer is
-// what settles the attempt.
+// A stop request without a reply is sent again: it may have been lost, and its
+// reply is what resolves the attempt.
 constexpr duration kStopRetryInterval = milliseconds(40);
-// Between looks at a backend server that refuses connections.
+// Until the next poll after one that failed or was refused.
 constexpr duration kPollRetryInterval = milliseconds(50);
-// A backend server that has answered no look for this long is taken to be gone
-// until it does. Three or more looks were made in that time.
+// A backend server that has replied to no poll for this long counts as absent
+// until it does. At least three polls are sent in that time.
 constexpr duration kServerTimeout = milliseconds(280);
-// An order that is not answered is repeated under the same run number, which
-// starts the task once at most whenever the first one is carried out.
+// A start request without a reply is sent again with the same run number, so
+// that the task is started at most once, whenever the first request is carried
+// out.
 constexpr uint32_t kMaxStartResends = 5;
-// While tasks of unknown size are being stopped, which takes up to 50 ms.
+// Between polls while stray tasks are being stopped, which takes up to 50 ms.
 constexpr duration kStrayPollInterval = milliseconds(10);
-// A start is repeated this often for reasons that the next order can mend: a
-// lease or run number that was too low.
+// Maximum number of new starts of a task after refusals that the next request
+// can avoid: a lease, run number or fencing token that was too low.
 constexpr uint32_t kMaxStartRetries = 4;
-// A backend server that lives announces itself twice in this time.
+// How long a restored announcement is used. A running backend server announces
+// itself twice in this time.
 constexpr duration kRestoredLifetime = milliseconds(3000);
-// A greater token than ours was left by a predecessor whose clock was ahead.
+// By how much the fencing token is raised when it is refused: an earlier
+// executor whose clock was ahead has used a greater one.
 constexpr uint64_t kFencingTokenStep = 60;
-// After this many failures in a row, of whatever jobs, the backend server and
-// not the tasks is taken to be at fault.
+// After this many consecutive failures, of any jobs, the backend server and not
+// the tasks is taken to be at fault, and it is quarantined.
 constexpr uint32_t kQuarantineAfterFailures = 3;
 constexpr duration kQuarantineTime = milliseconds(1500);
-// Of the mean run time: about the last ten tasks count.
+// Decay of the mean run time for each task: about the last ten tasks count.
 constexpr double kMeanRunDecay = 0.9;
-// Progress comes in whole percents: from here on the forecast is good to about
-// a tenth.
+// Progress is reported in whole percents. From this run time and progress on,
+// an estimate from progress is accurate to about a tenth.
 constexpr duration kMinProgressTime = milliseconds(100);
 constexpr uint32_t kMinProgressPercent = 5;
-// A task that runs longer than forecast ends soon, or its forecast was wrong.
+// Minimum of the expected remaining run time. A task that runs longer than its
+// forecast ends soon, or the forecast was wrong.
 constexpr duration kOverdueEnd = milliseconds(10);
-// An evacuation has to be in force within seconds. Entries hear from the store
-// at least every 1.5 s; if none of those that order here has heard from it for
-// this long, the executor asks by itself.
+// An evacuation must take effect within seconds. Entries get an update from the
+// store at least every 1.5 s. If none of those that dispatch here has had one
+// for this long, the executor reads the store itself.
 constexpr duration kEvacuationsStaleAfter = milliseconds(2500);
-// Orders come far more often than this while there is work.
+// How long entries count as dispatching here after a dispatch. While there is
+// work, dispatches come far more often.
 constexpr duration kRecentDispatch = milliseconds(1000);
-// Run numbers are remembered for this many ended tasks; a caller sends its job
-// again within seconds.
+// Last run numbers are kept for this many ended tasks. A caller resubmits its
+// job within seconds.
 constexpr size_t kMaxRunNumbers = 4096;
 
 } // namespace detail
--- a/cactusmast/task_executor_polls.cc
+++ b/cactusmast/task_executor_polls.cc
@@ -1,3 +1,5 @@
+// Polls of the backend server, and what follows from their replies.
+
 #include "cactusmast/task_executor.h"
 
 #include <algorithm>
@@ -17,8 +19,8 @@
   return outstanding ? aNow >= mPollTimeoutAt : aNow >= mNextPoll;
 }
 
-// A look returns with the next end, so that waits are cut short only to notice
-// an answer that was lost. It is missed most right after an end.
+// The reply to a poll comes with the next end in any case. The wait is shorter
+// only to detect a lost reply, which matters most right after an end.
 milliseconds
 task_executor::PollWait(instant aNow) const
 {
@@ -46,9 +48,9 @@
   request.mNumber = ++mLastPollNumber;
   request.mFencingToken = mFencingToken;
   request.mLastEndSeen = mLastEndSeen;
-  // A backend server that has been silent gets no longer lease: if it runs on
-  // unseen, that must have an end. Before its clock is known there is nothing
-  // to lease.
+  // The lease of a backend server that has timed out is not extended, so that
+  // its tasks end even if they run on unobserved. Before its clock is known,
+  // the end of a lease cannot be given.
   bool responsive = mClockKnown && aNow - mLastPollReplyAt < kServerTimeout;
   request.mLeaseUntilMs = responsive ? ExtendLease(aNow) : 0;
   request.mWaitMs =
@@ -92,7 +94,7 @@
     mNextPoll = aNow + kPollRetryInterval;
     return;
   }
-  // Answers may overtake each other; an older one says nothing new.
+  // Replies may overtake each other; an older one is ignored.
   if (aNumber < mNewestPollReply) {
     return;
   }
@@ -159,7 +161,8 @@
       listed.insert(run.mTask);
       continue;
     }
-    // Left by a predecessor of this process, or an order carried out late.
+    // Left by an earlier executor process, or started by a request that was
+    // carried out late.
     strays = true;
     instant& next = mStrayStops[run.mTask];
     if (next <= aNow) {
@@ -175,7 +178,7 @@
   }
   if (mHasStrays != strays) {
     mHasStrays = strays;
-    MarkChanged(); // with strays there is no room
+    MarkChanged(); // no capacity is free while there are strays
   }
   std::vector<task_key> ended;
   for (const auto& [key, tracked] : mTasks) {
@@ -194,8 +197,8 @@
   }
 }
 
-// Tells the task's entry once when its progress shows that it cannot end in
-// its time here. A faster backend server still may.
+// Reports to the task's entry, once, if the progress shows that the task cannot
+// end in time here. On a faster backend server it still may.
 void
 task_executor::OnProgress(task& aTask, uint32_t aPercent, instant aNow)
 {
@@ -294,8 +297,8 @@
   mMeanRunMs = mMeanRunMs == 0
                  ? ranMs
                  : kMeanRunDecay * mMeanRunMs + (1 - kMeanRunDecay) * ranMs;
-  // Entries forecast run times from this speed; against their forecasts it
-  // would drift together with them.
+  // Compared with declared run times, because entries make their forecasts from
+  // this speed: compared with forecasts, both would drift together.
   bool startedCold = aTask.mStartSentAt < mColdUntil;
   (startedCold ? mColdSpeed : mSpeed).Observe(ranMs, double(aTask.mDeclaredMs));
 }
@@ -309,8 +312,8 @@
   return mCold ? mColdSpeed.Slowness() : mSpeed.Slowness();
 }
 
-// A cold backend server is slow for a while, by how much only its tasks show.
-// What was learned of it while warm holds again afterwards.
+// A cold backend server is slow for a while; by how much is only known from its
+// tasks. The estimate from before applies again afterwards.
 void
 task_executor::CheckCold(instant aNow)
 {
@@ -329,8 +332,8 @@
   MarkChanged();
 }
 
-// Every lease that was asked for is over and the backend server has not
-// answered since: whatever it ran has ended by its own clock.
+// Once every lease that was requested has expired and the backend server has
+// not replied since, its tasks have ended by its own clock.
 void
 task_executor::CheckLeaseExpiry(instant aNow)
 {
--- a/cactusmast/task_executor_restore.cc
+++ b/cactusmast/task_executor_restore.cc
@@ -1,4 +1,4 @@
-// What an executor knows of its backend server from an earlier process.
+// Use of the announcement that an earlier executor process stored.
 
 #include "cactusmast/task_executor.h"
 
@@ -20,7 +20,7 @@
     return;
   }
   SetServer(aServer);
-  mServer.mSequence = 0; // any announcement is newer
+  mServer.mSequence = 0; // any announcement counts as newer
   mRestoredUntil = aNow + kRestoredLifetime;
   mEvents.Emit(event_code::BackendRecalled,
                { { "server", aServer.mId },
@@ -36,8 +36,8 @@
   return mServerKnown && !IsRestored() ? &mServer : nullptr;
 }
 
-// Another life may be of another size, or of another service: tasks sized for
-// the recalled one could overload it.
+// Another incarnation may have another capacity or service: tasks sized for the
+// restored one could overload it.
 void
 task_executor::CheckRestored(instant aNow)
 {
@@ -45,7 +45,7 @@
     return;
   }
   if (mServerStartTimeMs != 0 && mServerStartTimeMs != mServer.mStartTimeMs) {
-    DropRestored("another life", aNow);
+    DropRestored("another incarnation", aNow);
   } else if (aNow >= mRestoredUntil) {
     DropRestored("no announcement followed", aNow);
   }
--- a/cactusmast/task_executor_starts.cc
+++ b/cactusmast/task_executor_starts.cc
@@ -1,3 +1,5 @@
+// Start and stop requests to the backend server, and their replies.
+
 #include "cactusmast/task_executor.h"
 
 #include <algorithm>
@@ -57,10 +59,10 @@
   BeginStart(aTask, aNow);
 }
 
-// What the last order got says nothing of an earlier one that got no answer:
-// that one may have been carried out, or be carried out seconds later. Then
-// only a stop that is answered, a new life or the end of all leases settles
-// the attempt, and it counts as started.
+// The reply to the last start request says nothing about an earlier one without
+// a reply, which may have been carried out or may be carried out seconds later.
+// Then the attempt counts as started and is only resolved by the reply to a
+// stop request, a restart of the backend server or the expiry of all leases.
 void
 task_executor::GiveUpStart(task& aTask, attempt_outcome aWhy, instant aNow)
 {
@@ -111,8 +113,8 @@
       return;
     case start_result::OldRun:
       if (tracked.mResends > 0) {
-        // The unanswered order was carried out and has ended; the next look
-        // says how.
+        // The request without a reply was carried out, and the task has ended;
+        // the reply to the next poll says how.
         tracked.mState = task_state::Running;
         tracked.mConfirmedAt = aNow;
         return;
--- a/cactusmast/testing/task_executor_test.cc
+++ b/cactusmast/testing/task_executor_test.cc
@@ -1,4 +1,4 @@
-// Single answers of a backend server that an executor must not misread.
+// How an executor reacts to single messages, replies and timeouts.
 
 #include <doctest/doctest.h>
 
@@ -10,7 +10,7 @@
 
 using std::chrono::seconds;
 
-// Keeps the orders; the test answers them.
+// Records the requests; the test passes the replies to the executor.
 class scripted_runner : public backend_runner
 {
 public:
@@ -50,7 +50,7 @@
   uint32_t mClosedLinks = 0;
 };
 
-// An executor whose backend server is known.
+// An executor whose backend server is announced and has replied to a poll.
 struct known_server
 {
   known_server()
@@ -74,7 +74,7 @@
     mExecutor.OnAnnouncement(announcement, mNow);
   }
 
-  // Tasks one after the other, each declared at 60 ms.
+  // Runs tasks one after the other, each with a declared run time of 60 ms.
   void RunTasks(int aCount, duration aRunTime)
   {
     for (int i = 0; i < aCount; i++) {
@@ -93,7 +93,7 @@
     }
   }
 
-  // One task, ordered by the entry. aKnown: what it says of evacuations.
+  // The entry dispatches one task. aEvacuations: sent along; null: nothing.
   void Dispatch(const evacuation_tracker* aEvacuations = nullptr)
   {
     wire::start_tasks_msg dispatch;
@@ -137,7 +137,7 @@
     mExecutor.Tick(mNow);
   }
 
-  // The entry says nothing; looks are answered.
+  // The entry sends no heartbeats; polls get replies.
   void AdvanceWithoutHeartbeat(duration aSpan,
                                const std::vector<running_task>& aRunning)
   {
@@ -158,7 +158,7 @@
   task_executor mExecutor;
 };
 
-// With one task started there.
+// A known_server with one start request sent.
 struct started_task : known_server
 {
   started_task()
@@ -177,12 +177,14 @@
 
 } // namespace
 
-TEST_CASE("an order that is read together with its withdrawal starts nothing")
+TEST_CASE(
+  "a dispatch that is read together with the stop of its tasks starts nothing")
 {
-  // An executor stands still for two seconds. Meanwhile its entry gives the
-  // job up and the caller sends it again elsewhere. When the executor wakes it
-  // reads the old order and right behind it the withdrawal; if it started the
-  // task in between, it would run on two backend servers at a time.
+  // An executor is paused for two seconds. Meanwhile its entry gives the job up
+  // and the caller resubmits it elsewhere. When the executor resumes, it reads
+  // the old dispatch and right after it the stop or the end of the connection.
+  // If it started the task in between, the task would run on two backend
+  // servers at a time.
   known_server withdrawn;
   withdrawn.Dispatch();
   wire::stop_tasks_msg stop;
@@ -199,12 +201,12 @@
   CHECK(closed.mRunner.mStarts.empty());
 }
 
-TEST_CASE("an answer read between an order and its withdrawal starts nothing")
+TEST_CASE("a poll reply read between a dispatch and its stop starts nothing")
 {
-  // The same standstill, but a look was under way: its answer has arrived as
-  // well, and the executor reads it before it comes to the withdrawal.
+  // An executor is paused as in the test above, but with a poll outstanding:
+  // its reply has arrived as well, and the executor reads it before the stop.
   known_server world;
-  world.Advance(milliseconds(20)); // a look is under way
+  world.Advance(milliseconds(20)); // a poll is outstanding
   world.Dispatch();
   world.ReplyToPoll({}, {});
   wire::stop_tasks_msg stop;
@@ -215,7 +217,7 @@
   CHECK(world.mRunner.mStarts.empty());
 }
 
-TEST_CASE("a refused start never started, if it was the only order")
+TEST_CASE("a start refused at the first request counts as never started")
 {
   for (start_result result : kNotStarted) {
     CAPTURE(int(result));
@@ -229,12 +231,13 @@
   }
 }
 
-TEST_CASE("a start that got no answer may have run, whatever its repeat gets")
+TEST_CASE(
+  "a start without a reply may have run, whatever the reply to its resend")
 {
-  // A backend server starts a task and dies before it answers. The order is
-  // repeated, and now the connection is refused. If that counted as never
-  // started, the user would hear that the order was not run although it was,
-  // and would give it again.
+  // A backend server starts a task and crashes before it replies. The request
+  // is sent again, and now the connection is refused. If the attempt counted as
+  // never started, the user would be told that the task did not run although it
+  // did, and would submit it again.
   for (start_result result : kNotStarted) {
     CAPTURE(int(result));
     started_task world;
@@ -245,7 +248,7 @@
     world.ReplyToStart(result);
     CHECK(world.mLinks.mOutcomes.empty());
     CHECK(world.mRunner.mStops.size() == 1);
-    // Nothing answers any more: every lease that was asked for ends.
+    // Nothing replies any more: every lease that was requested expires.
     for (int i = 0; i < 100; i++) {
       world.Advance(milliseconds(10));
     }
@@ -254,16 +257,17 @@
   }
 }
 
-TEST_CASE("a repeat that comes too late for its own run takes that run's end")
+TEST_CASE(
+  "a resend that arrives after the task has ended does not start it again")
 {
-  // The first order was carried out, only its answer was lost, and the task
-  // has ended when the repeat arrives. Starting it anew under another number
-  // would run a user's order twice.
+  // The first request was carried out but its reply was lost, and the task has
+  // ended when the resend arrives. A new start with another run number would
+  // run the user's task twice; instead the outcome is that of the first start.
   started_task world;
   world.ReplyToStart(start_result::NoAnswer);
   world.ReplyToStart(start_result::OldRun);
   CHECK(world.mRunner.mStarts.size() == 2);
-  world.Advance(milliseconds(20)); // a look is under way by then
+  world.Advance(milliseconds(20)); // a poll is outstanding by then
   ended_task end;
   end.mNumber = 1;
   end.mTask = world.mRunner.mStarts[0].mTask;
@@ -275,16 +279,16 @@
   CHECK(world.mLinks.mOutcomes[0] == attempt_outcome::Done);
 }
 
-TEST_CASE("an entry without tasks here may be silent as long as it likes")
+TEST_CASE("an entry without open tasks never times out")
 {
   known_server world;
   world.AdvanceWithoutHeartbeat(seconds(20), {});
   CHECK(world.mLinks.mClosedLinks == 0);
 }
 
-TEST_CASE("an entry that falls silent with a task here loses it in time")
+TEST_CASE("the task of an entry that has timed out is stopped in time")
 {
-  // Guards against a task that runs on while its caller sends the job again.
+  // Guards against a task that runs on while its caller resubmits the job.
   started_task world;
   world.ReplyToStart(start_result::Started);
   running_task run{ { 7, 0, 0 }, 1, 10 };
@@ -296,7 +300,8 @@
   CHECK(world.mRunner.mStops.size() == 1);
 }
 
-TEST_CASE("an entry hears of a quiet backend server only what it asked for")
+TEST_CASE(
+  "an entry without open tasks gets periodic reports only if subscribed")
 {
   known_server world;
   world.mExecutor.Tick(world.mNow);
@@ -311,22 +316,24 @@
   CHECK(world.mLinks.mReports == atFirst + 11);
 }
 
-TEST_CASE("what waits in an evacuated data centre is returned at once")
+TEST_CASE(
+  "queued tasks are returned at once when their data centre is evacuated")
 {
-  // Guards against jobs that lose the time in which they could run elsewhere.
-  known_server told;
-  told.Dispatch();
-  told.mExecutor.OnEvacuations(evacuation_update{ { 2, { "a" } }, told.mNow },
-                               told.mNow);
-  told.Advance(milliseconds(1));
-  CHECK(told.mRunner.mStarts.empty());
-  REQUIRE(told.mLinks.mOutcomes.size() == 1);
-  CHECK(told.mLinks.mOutcomes[0] == attempt_outcome::Draining);
+  // Guards against tasks that wait here while they could run elsewhere.
+  known_server evacuated;
+  evacuated.Dispatch();
+  evacuated.mExecutor.OnEvacuations(
+    evacuation_update{ { 2, { "a" } }, evacuated.mNow }, evacuated.mNow);
+  evacuated.Advance(milliseconds(1));
+  CHECK(evacuated.mRunner.mStarts.empty());
+  REQUIRE(evacuated.mLinks.mOutcomes.size() == 1);
+  CHECK(evacuated.mLinks.mOutcomes[0] == attempt_outcome::Draining);
 }
 
-TEST_CASE("an order that tells of an evacuation here starts nothing")
+TEST_CASE(
+  "a dispatch that carries the evacuation of this data centre starts nothing")
 {
-  // Guards against news that only comes after the order.
+  // Guards against an evacuation that only becomes known after the dispatch.
   known_server world;
   evacuation_tracker sender;
   sender.Update({ { 2, { "a" } }, world.mNow });
@@ -338,9 +345,10 @@
   CHECK(world.mExecutor.State(world.mNow) == server_state::Evacuated);
 }
 
-TEST_CASE("an unanswered start is not repeated in an evacuated data centre")
+TEST_CASE(
+  "a start without a reply is not sent again in an evacuated data centre")
 {
-  // Guards against a repeat that starts the task long after the evacuation.
+  // Guards against a resend that starts the task long after the evacuation.
   started_task world;
   world.mExecutor.OnEvacuations(evacuation_update{ { 2, { "a" } }, world.mNow },
                                 world.mNow);
@@ -357,10 +365,11 @@
   CHECK(refused.mLinks.mOutcomes[0] == attempt_outcome::Draining);
 }
 
-TEST_CASE("what is learned of a backend server while it is cold is set aside")
+TEST_CASE(
+  "the slowness of a cold backend server does not count once it is warm")
 {
-  // Guards against one that goes on being taken for slow once it is warm, and
-  // against forecasts for it that are far too short while it is cold.
+  // Guards against a backend server that still counts as slow once it is warm,
+  // and against forecasts that are far too short while it is cold.
   known_server world;
   world.RunTasks(10, milliseconds(60));
   double warm = world.mExecutor.Slowness();
@@ -375,14 +384,15 @@
   CHECK(world.mExecutor.Slowness() < 1.2);
 }
 
-TEST_CASE("a backend server that falls ill is reported to every entry at once")
+TEST_CASE(
+  "a backend server that has timed out is reported to every entry at once")
 {
-  // Guards against entries outside whose subset it is, and which would take it
-  // in as ready.
+  // Guards against entries without it in their subset, which would otherwise
+  // add it to the subset as ready.
   known_server world;
   world.mExecutor.Tick(world.mNow);
   uint32_t before = world.mLinks.mReports;
-  world.mNow += milliseconds(400); // no look is answered
+  world.mNow += milliseconds(400); // no poll gets a reply
   world.mExecutor.Tick(world.mNow);
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
   CHECK(world.mLinks.mReports == before + 1);
