--- a/cactusmast/server_record.cc
+++ b/cactusmast/server_record.cc
@@ -3,6 +3,7 @@
 #include "cactusmast/message.h"
 
 namespace cactusmast {
+
 std::string
 EncodeServerRecord(const server_announcement& aServer)
 {
@@ -28,13 +29,15 @@
     if (record == nullptr) {
       throw failure(error_code::Protocol, "decode", "store", "no such record");
     }
-    server_announcement made;
-    made.mId = record->id;
-    made.mService = record->service;
-    made.mStartTimeMs = record->born_ms;
-    made.mCapacity = { record->cpu_millis, record->memory_mb, record->gpus };
-    made.mLabels = record->labels;
-    return made;
+    server_announcement announcement;
+    announcement.mId = record->id;
+    announcement.mService = record->service;
+    announcement.mStartTimeMs = record->born_ms;
+    announcement.mCapacity = { record->cpu_millis,
+                               record->memory_mb,
+                               record->gpus };
+    announcement.mLabels = record->labels;
+    return announcement;
   });
 }
 
--- a/cactusmast/stored_row.cc
+++ b/cactusmast/stored_row.cc
@@ -4,7 +4,7 @@
 namespace {
 
 // After a write that failed. The row matters only to a later process.
-constexpr duration kWriteRetry = std::chrono::milliseconds(1000);
+constexpr duration kWriteRetryInterval = std::chrono::milliseconds(1000);
 
 } // namespace
 
@@ -18,54 +18,53 @@
 }
 
 void
-stored_row::Load(load_handler aRecalled)
+stored_row::Load(load_handler aOnLoaded)
 {
-  auto take = [this, handler = std::move(aRecalled)](
-                const store_reply& aAnswer) { OnRecalled(aAnswer, handler); };
-  mStore.ReadPart(mPlace.mTable, mPlace.mPart, take);
+  auto onReply = [this, handler = std::move(aOnLoaded)](
+                   const store_reply& aReply) { OnLoaded(aReply, handler); };
+  mStore.ReadPart(mPlace.mTable, mPlace.mPart, onReply);
 }
 
 void
-stored_row::OnRecalled(const store_reply& aAnswer,
-                       const load_handler& aRecalled)
+stored_row::OnLoaded(const store_reply& aReply, const load_handler& aOnLoaded)
 {
-  if (aAnswer.mStatus != store_status::Ok) {
+  if (aReply.mStatus != store_status::Ok) {
     mEvents.Emit(event_code::TableUnavailable,
-                 { { "table", mPlace.mTable }, { "text", aAnswer.mText } });
+                 { { "table", mPlace.mTable }, { "text", aReply.mText } });
     return;
   }
-  for (const store_row& row : aAnswer.mRows) {
+  for (const store_row& row : aReply.mRows) {
     if (row.mKey != mPlace.mKey || row.mDeleted) {
       continue;
     }
     if (!mStored) {
       mStored = row.mValue;
     }
-    aRecalled(row.mValue);
+    aOnLoaded(row.mValue);
   }
 }
 
 void
 stored_row::Set(std::string aValue)
 {
-  mWanted = std::move(aValue);
+  mDesired = std::move(aValue);
 }
 
 void
 stored_row::Tick(instant aNow)
 {
-  if (!mWanted || mWanted == mStored || mWriting || aNow < mNextTry) {
+  if (!mDesired || mDesired == mStored || mWriting || aNow < mNextWrite) {
     return;
   }
   mWriting = true;
-  mNextTry = aNow + kWriteRetry;
-  std::string value = *mWanted;
+  mNextWrite = aNow + kWriteRetryInterval;
+  std::string value = *mDesired;
   store_row row{ mPlace.mKey, value, value.empty(), mPlace.mPart };
-  mStore.PutRow(mPlace.mTable, row, [this, value](const store_reply& aAnswer) {
+  mStore.PutRow(mPlace.mTable, row, [this, value](const store_reply& aReply) {
     mWriting = false;
-    if (aAnswer.mStatus == store_status::Ok) {
+    if (aReply.mStatus == store_status::Ok) {
       mStored = value;
-      mNextTry = instant(0);
+      mNextWrite = instant(0);
     }
   });
 }
--- a/cactusmast/stored_row.h
+++ b/cactusmast/stored_row.h
@@ -32,23 +32,23 @@
   stored_row(metadata_store& aStore, row_place aPlace, event_sink& aEvents);
 
   // Reads the row once; aRecalled gets its value if there is one.
-  void Load(load_handler aRecalled);
+  void Load(load_handler aOnLoaded);
   // What the row is to hold, or that it is to go. Tick writes it.
   void Set(std::string aValue);
   void Remove() { Set(""); }
   void Tick(instant aNow);
 
 private:
-  void OnRecalled(const store_reply& aAnswer, const load_handler& aRecalled);
+  void OnLoaded(const store_reply& aReply, const load_handler& aOnLoaded);
 
   metadata_store& mStore;
   row_place mPlace;
   event_sink& mEvents;
   // Empty text stands for no row.
-  std::optional<std::string> mWanted; // no value: nothing to say yet
-  std::optional<std::string> mStored; // as last read or confirmed
+  std::optional<std::string> mDesired; // no value: nothing to say yet
+  std::optional<std::string> mStored;  // as last read or confirmed
   bool mWriting = false;
-  instant mNextTry{};
+  instant mNextWrite{};
 };
 
 } // namespace cactusmast
--- a/cactusmast/testing/server_record_test.cc
+++ b/cactusmast/testing/server_record_test.cc
@@ -14,32 +14,32 @@
 using std::chrono::seconds;
 
 server_announcement
-SomeServer()
+SampleAnnouncement()
 {
-  server_announcement made;
-  made.mId = "i-1";
-  made.mService = "s";
-  made.mStartTimeMs = 5;
-  made.mCapacity = { 16000, 1000, 2 };
-  made.mLabels = { "a", "r1-3" };
-  return made;
+  server_announcement announcement;
+  announcement.mId = "i-1";
+  announcement.mService = "s";
+  announcement.mStartTimeMs = 5;
+  announcement.mCapacity = { 16000, 1000, 2 };
+  announcement.mLabels = { "a", "r1-3" };
+  return announcement;
 }
 
 // Answers reads with what was written; down when told so.
-class small_store : public metadata_store
+class memory_store : public metadata_store
 {
 public:
   void ReadPart(const std::string&,
                 const std::string& aPart,
                 callback aDone) override
   {
-    store_reply answer = Status();
+    store_reply reply = MakeReply();
     for (const store_row& row : mRows) {
       if (row.mPart == aPart) {
-        answer.mRows.push_back(row);
+        reply.mRows.push_back(row);
       }
     }
-    aDone(answer);
+    aDone(reply);
   }
   void WaitForChange(const std::string&, uint64_t, uint32_t, callback) override
   {
@@ -49,41 +49,44 @@
               callback aDone) override
   {
     mWrites++;
-    if (!mDown) {
+    if (!mUnavailable) {
       mRows.clear();
       if (!aRow.mDeleted) {
         mRows.push_back(aRow);
       }
     }
-    aDone(Status());
+    aDone(MakeReply());
   }
 
-  bool mDown = false;
+  bool mUnavailable = false;
   int mWrites = 0;
   std::vector<store_row> mRows;
 
 private:
-  store_reply Status() const
+  store_reply MakeReply() const
   {
-    store_reply answer;
-    answer.mStatus = mDown ? store_status::Unavailable : store_status::Ok;
-    return answer;
+    store_reply reply;
+    reply.mStatus = mUnavailable ? store_status::Unavailable : store_status::Ok;
+    return reply;
   }
 };
 
 class idle_runner : public backend_runner
 {
 public:
-  void Start(const start_request& aOrder) override
+  void Start(const start_request& aRequest) override
   {
-    mStarts.push_back(aOrder);
+    mStarts.push_back(aRequest);
   }
   void Stop(const stop_request&) override {}
-  void Poll(const poll_request& aOrder) override { mLook = aOrder.mNumber; }
+  void Poll(const poll_request& aRequest) override
+  {
+    mLastPoll = aRequest.mNumber;
+  }
   void ExpectInstance(const std::string& aId) override { mExpected = aId; }
 
   std::vector<start_request> mStarts;
-  uint64_t mLook = 0;
+  uint64_t mLastPoll = 0;
   std::string mExpected;
 };
 
@@ -104,21 +107,21 @@
     mExecutor.Tick(mNow);
   }
 
-  void Look(int64_t aBornMs)
+  void ReplyToPoll(int64_t aStartTimeMs)
   {
-    server_snapshot seen;
-    seen.mClockMs = 1000;
-    seen.mStartTimeMs = aBornMs;
-    mExecutor.OnPollReply(mRunner.mLook, poll_result::Ok, seen, mNow);
+    server_snapshot snapshot;
+    snapshot.mClockMs = 1000;
+    snapshot.mStartTimeMs = aStartTimeMs;
+    mExecutor.OnPollReply(mRunner.mLastPoll, poll_result::Ok, snapshot, mNow);
   }
 
-  void Pass(duration aSpan, int64_t aBornMs = 5)
+  void Advance(duration aSpan, int64_t aStartTimeMs = 5)
   {
     instant until = mNow + aSpan;
     while (mNow < until) {
       mNow += milliseconds(10);
       mExecutor.OnHeartbeat(1, mNow);
-      Look(aBornMs);
+      ReplyToPoll(aStartTimeMs);
       mExecutor.Tick(mNow);
     }
   }
@@ -134,7 +137,7 @@
 
 TEST_CASE("a server record says after a round trip what it said before")
 {
-  server_announcement server = SomeServer();
+  server_announcement server = SampleAnnouncement();
   server_announcement read =
     DecodeServerRecord(EncodeServerRecord(server)).Value();
   CHECK(read.mId == server.mId);
@@ -154,7 +157,7 @@
 
 TEST_CASE("a row is written once, again after a fault, and goes in the end")
 {
-  small_store store;
+  memory_store store;
   silent_events events;
   row_place place{ "t", "side-1", "side-1" };
   stored_row row(store, place, events);
@@ -162,21 +165,21 @@
   row.Tick(now);
   CHECK(store.mWrites == 0);
 
-  store.mDown = true;
+  store.mUnavailable = true;
   row.Set("first");
   row.Tick(now);
   row.Tick(now + milliseconds(20));
   CHECK(store.mWrites == 1); // a store in trouble is not pressed
-  store.mDown = false;
+  store.mUnavailable = false;
   row.Tick(now + seconds(2));
   row.Set("first");
   row.Tick(now + seconds(4));
   CHECK(store.mWrites == 2);
 
-  std::string recalled;
+  std::string loaded;
   stored_row next(store, place, events);
-  next.Load([&](const std::string& aValue) { recalled = aValue; });
-  CHECK(recalled == "first");
+  next.Load([&](const std::string& aValue) { loaded = aValue; });
+  CHECK(loaded == "first");
   next.Set("first");
   next.Tick(now + seconds(5));
   CHECK(store.mWrites == 2); // it says so already
@@ -193,18 +196,18 @@
   // callers find no room all that time, although every backend server is up.
   new_process world;
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
-  world.mExecutor.OnServerRestored(SomeServer(), world.mNow);
+  world.mExecutor.OnServerRestored(SampleAnnouncement(), world.mNow);
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
-  world.Look(5);
+  world.ReplyToPoll(5);
   CHECK(world.mExecutor.State(world.mNow) == server_state::Ready);
   CHECK(world.mExecutor.Free().mCpuMillis == 16000);
   CHECK(world.mRunner.mExpected == "i-1");
   CHECK(world.mExecutor.Announcement() == nullptr);
 
-  server_announcement said = SomeServer();
-  said.mSequence = 9;
-  world.mExecutor.OnAnnouncement(said, world.mNow);
-  world.Pass(seconds(5));
+  server_announcement announcement = SampleAnnouncement();
+  announcement.mSequence = 9;
+  world.mExecutor.OnAnnouncement(announcement, world.mNow);
+  world.Advance(seconds(5));
   CHECK(world.mExecutor.State(world.mNow) == server_state::Ready);
   CHECK(world.mExecutor.Announcement() != nullptr);
 }
@@ -214,21 +217,24 @@
   // The machine was replaced by a smaller one at the same address while the
   // executor was away. Tasks placed by the old size would overload it.
   new_process world;
-  world.mExecutor.OnServerRestored(SomeServer(), world.mNow);
-  world.Pass(milliseconds(50), 6);
+  world.mExecutor.OnServerRestored(SampleAnnouncement(), world.mNow);
+  world.Advance(milliseconds(50), 6);
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
 
-  new_process seenFirst;
-  seenFirst.Look(6);
-  seenFirst.mExecutor.OnServerRestored(SomeServer(), seenFirst.mNow);
-  seenFirst.Pass(milliseconds(50), 6);
-  CHECK(seenFirst.mExecutor.State(seenFirst.mNow) == server_state::Absent);
+  new_process polledFirst;
+  polledFirst.ReplyToPoll(6);
+  polledFirst.mExecutor.OnServerRestored(SampleAnnouncement(),
+                                         polledFirst.mNow);
+  polledFirst.Advance(milliseconds(50), 6);
+  CHECK(polledFirst.mExecutor.State(polledFirst.mNow) == server_state::Absent);
 
   // One that does not tell its lives apart cannot be recognized.
-  new_process silent;
-  silent.mExecutor.OnServerRestored(SomeServer(), silent.mNow);
-  silent.Pass(milliseconds(50), 0);
-  CHECK(silent.mExecutor.State(silent.mNow) == server_state::Absent);
+  new_process unidentified;
+  unidentified.mExecutor.OnServerRestored(SampleAnnouncement(),
+                                          unidentified.mNow);
+  unidentified.Advance(milliseconds(50), 0);
+  CHECK(unidentified.mExecutor.State(unidentified.mNow) ==
+        server_state::Absent);
 }
 
 TEST_CASE("a record that no announcement confirms is dropped, its tasks return")
@@ -237,10 +243,10 @@
   // because the store was away. It answers still, but it has stopped announcing
   // itself; it must get nothing new for long.
   new_process world;
-  world.mExecutor.OnServerRestored(SomeServer(), world.mNow);
-  world.Pass(seconds(2));
+  world.mExecutor.OnServerRestored(SampleAnnouncement(), world.mNow);
+  world.Advance(seconds(2));
   CHECK(world.mExecutor.State(world.mNow) == server_state::Ready);
-  world.Pass(seconds(2));
+  world.Advance(seconds(2));
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
   CHECK(world.mExecutor.Queued() == 0);
 }
