--- a/cactusmast/server_record.cc
+++ b/cactusmast/server_record.cc
@@ -27,7 +27,10 @@
     message decoded = std::move(DecodeFrame(aBytes, "store").Value());
     const wire::server_record_msg* record = decoded.Asserver_record();
     if (record == nullptr) {
-      throw failure(error_code::Protocol, "decode", "store", "no such record");
+      throw failure(error_code::Protocol,
+                    "decode",
+                    "store",
+                    "message is not a server record");
     }
     server_announcement announcement;
     announcement.mId = record->id;
--- a/cactusmast/server_record.h
+++ b/cactusmast/server_record.h
@@ -1,15 +1,15 @@
-// What the store keeps of the backend server beside an executor.
+// The record of the backend server beside an executor in the store.
 //
-// Backend servers announce themselves every second or two. An executor that
-// was killed and is back within half a second would know of its backend server
-// only with the next announcement; if all executors are killed at once, their
-// entries find no room for a second and refuse or delay what comes, although
-// every backend server is up. So each executor keeps the last announcement in
-// the store and reads it when it starts.
+// Backend servers announce themselves every second or two. An executor that is
+// killed and back within half a second would not know its backend server until
+// the next announcement. If all executors were killed at once, entries would
+// find no capacity for a second and refuse or delay jobs, although every
+// backend server is up. Therefore each executor stores the last announcement
+// and reads it when it starts.
 //
-// The record is a hint: the executor uses it only for the very life of the
-// backend server that it names, and only for a while unless an announcement
-// follows (task_executor::OnServerRestored).
+// The record is a hint: the executor uses it only for the incarnation of the
+// backend server that it names, and only for a limited time unless an
+// announcement follows (task_executor::OnServerRestored).
 
 #ifndef CACTUSMAST_SERVER_RECORD_H_
 #define CACTUSMAST_SERVER_RECORD_H_
@@ -21,7 +21,7 @@
 
 namespace cactusmast {
 
-// As bytes of a row.
+// The value of the row. mSequence, mDraining and mColdLeftMs are not stored.
 std::string
 EncodeServerRecord(const server_announcement& aServer);
 
--- a/cactusmast/stored_row.cc
+++ b/cactusmast/stored_row.cc
@@ -3,7 +3,8 @@
 namespace cactusmast {
 namespace {
 
-// After a write that failed. The row matters only to a later process.
+// Until a failed write is retried. It may be long because the row is only read
+// by a later process.
 constexpr duration kWriteRetryInterval = std::chrono::milliseconds(1000);
 
 } // namespace
--- a/cactusmast/stored_row.h
+++ b/cactusmast/stored_row.h
@@ -1,8 +1,8 @@
-// One row of the store that outlives the process that writes it.
+// A row of the store that outlives the process that writes it.
 //
-// A process that restarts reads what it, or another, kept there. The store is
-// in no task's way: while it is away nothing is kept or found, and a write that
-// fails is repeated after a pause.
+// A process that restarts loads what it, or another one, stored there. Tasks
+// never wait for the store: while it is unavailable nothing is stored or
+// loaded, and a write that fails is retried after an interval.
 
 #ifndef CACTUSMAST_STORED_ROW_H_
 #define CACTUSMAST_STORED_ROW_H_
@@ -16,11 +16,12 @@
 
 namespace cactusmast {
 
-// Where a row is. Parts of a table are written independently of each other.
+// The location of a row. Partitions of a table are written independently of
+// each other.
 struct row_place
 {
   std::string mTable;
-  std::string mPart;
+  std::string mPart; // partition
   std::string mKey;
 };
 
@@ -31,9 +32,9 @@
 
   stored_row(metadata_store& aStore, row_place aPlace, event_sink& aEvents);
 
-  // Reads the row once; aRecalled gets its value if there is one.
+  // Reads the row once. aOnLoaded is called with its value if the row exists.
   void Load(load_handler aOnLoaded);
-  // What the row is to hold, or that it is to go. Tick writes it.
+  // Sets the desired value, or that the row is to be removed. Tick writes it.
   void Set(std::string aValue);
   void Remove() { Set(""); }
   void Tick(instant aNow);
@@ -44,9 +45,9 @@
   metadata_store& mStore;
   row_place mPlace;
   event_sink& mEvents;
-  // Empty text stands for no row.
-  std::optional<std::string> mDesired; // no value: nothing to say yet
-  std::optional<std::string> mStored;  // as last read or confirmed
+  // An empty string stands for no row.
+  std::optional<std::string> mDesired; // no value: nothing to write yet
+  std::optional<std::string> mStored;  // as last loaded or written
   bool mWriting = false;
   instant mNextWrite{};
 };
--- a/cactusmast/testing/server_record_test.cc
+++ b/cactusmast/testing/server_record_test.cc
@@ -1,5 +1,5 @@
-// What an executor keeps of its backend server in the store, and what it may
-// do with it after a restart.
+// The record of a backend server that an executor stores, and its use after a
+// restart of the executor.
 
 #include <doctest/doctest.h>
 
@@ -25,7 +25,7 @@
   return announcement;
 }
 
-// Answers reads with what was written; down when told so.
+// Holds at most one row. Fails all requests while mUnavailable is set.
 class memory_store : public metadata_store
 {
 public:
@@ -97,7 +97,7 @@
   void Close(peer_id) override {}
 };
 
-// An executor that has just been started.
+// An executor that has just started; the test replies to its polls.
 struct new_process
 {
   new_process()
@@ -135,7 +135,8 @@
 
 } // namespace
 
-TEST_CASE("a server record says after a round trip what it said before")
+TEST_CASE(
+  "a server record is the same after decoding; unreadable ones are errors")
 {
   server_announcement server = SampleAnnouncement();
   server_announcement read =
@@ -155,7 +156,8 @@
   }
 }
 
-TEST_CASE("a row is written once, again after a fault, and goes in the end")
+TEST_CASE(
+  "a row is written once, retried after a failure, and removed on demand")
 {
   memory_store store;
   silent_events events;
@@ -169,7 +171,7 @@
   row.Set("first");
   row.Tick(now);
   row.Tick(now + milliseconds(20));
-  CHECK(store.mWrites == 1); // a store in trouble is not pressed
+  CHECK(store.mWrites == 1); // no retry before the interval is over
   store.mUnavailable = false;
   row.Tick(now + seconds(2));
   row.Set("first");
@@ -182,18 +184,19 @@
   CHECK(loaded == "first");
   next.Set("first");
   next.Tick(now + seconds(5));
-  CHECK(store.mWrites == 2); // it says so already
+  CHECK(store.mWrites == 2); // the row has this value already
 
   next.Remove();
   next.Tick(now + seconds(6));
   CHECK(store.mRows.empty());
 }
 
-TEST_CASE("a restarted executor uses the record before the next announcement")
+TEST_CASE("a restarted executor uses the record until the next announcement")
 {
   // All executors are killed and back within half a second, and their backend
-  // servers announce themselves every second and a half. Without the record
-  // callers find no room all that time, although every backend server is up.
+  // servers announce themselves every second and a half. Without the record,
+  // callers would find no capacity until then, although every backend server is
+  // up.
   new_process world;
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
   world.mExecutor.OnServerRestored(SampleAnnouncement(), world.mNow);
@@ -212,10 +215,10 @@
   CHECK(world.mExecutor.Announcement() != nullptr);
 }
 
-TEST_CASE("a record of another life of the backend server is not used")
+TEST_CASE("a record of another incarnation of the backend server is not used")
 {
   // The machine was replaced by a smaller one at the same address while the
-  // executor was away. Tasks placed by the old size would overload it.
+  // executor was down. Tasks placed by the old capacity would overload it.
   new_process world;
   world.mExecutor.OnServerRestored(SampleAnnouncement(), world.mNow);
   world.Advance(milliseconds(50), 6);
@@ -228,7 +231,8 @@
   polledFirst.Advance(milliseconds(50), 6);
   CHECK(polledFirst.mExecutor.State(polledFirst.mNow) == server_state::Absent);
 
-  // One that does not tell its lives apart cannot be recognized.
+  // The incarnation of a backend server that reports no start time cannot be
+  // verified.
   new_process unidentified;
   unidentified.mExecutor.OnServerRestored(SampleAnnouncement(),
                                           unidentified.mNow);
@@ -237,11 +241,12 @@
         server_state::Absent);
 }
 
-TEST_CASE("a record that no announcement confirms is dropped, its tasks return")
+TEST_CASE(
+  "a record that no announcement confirms is dropped and its tasks returned")
 {
-  // The backend server had begun to leave, and the record could not be removed
-  // because the store was away. It answers still, but it has stopped announcing
-  // itself; it must get nothing new for long.
+  // The backend server had begun to drain, and the record could not be removed
+  // because the store was unavailable. The backend server still replies to
+  // polls but no longer announces itself; it must not get new tasks for long.
   new_process world;
   world.mExecutor.OnServerRestored(SampleAnnouncement(), world.mNow);
   world.Advance(seconds(2));
