--- a/cactusmast/estimator.cc
+++ b/cactusmast/estimator.cc
@@ -27,7 +27,9 @@
 }
 
 void
-run_time_estimator::Observe(uint32_t aProfile, uint32_t aWorker, duration aRun)
+run_time_estimator::Observe(uint32_t aProfile,
+                            uint32_t aWorker,
+                            duration aRunTime)
 {
   if (aProfile >= mProfiles.size()) {
     mProfiles.resize(aProfile + 1);
@@ -35,14 +37,14 @@
   if (aWorker >= mWorkers.size()) {
     mWorkers.resize(aWorker + 1);
   }
-  worker_row& worker = mWorkers[aWorker];
+  worker_factors& worker = mWorkers[aWorker];
   if (aProfile >= worker.mByProfile.size()) {
     worker.mByProfile.resize(aProfile + 1);
   }
-  double run = std::max<double>(1, double(aRun.count()));
-  average& mean = mProfiles[aProfile];
-  mean.Add(run / Slowness(aProfile, aWorker), kProfileWindow);
-  double ratio = run / mean.mValue;
+  double runUs = std::max<double>(1, double(aRunTime.count()));
+  average& profileMean = mProfiles[aProfile];
+  profileMean.Add(runUs / Slowness(aProfile, aWorker), kProfileWindow);
+  double ratio = runUs / profileMean.mValue;
   worker.mSlowness.Add(ratio, kWorkerWindow);
   worker.mByProfile[aProfile].Add(ratio, kWorkerWindow);
 }
@@ -53,15 +55,16 @@
   if (aWorker >= mWorkers.size()) {
     return kPriorSlowness;
   }
-  const worker_row& worker = mWorkers[aWorker];
-  const average& own = worker.mSlowness;
-  double base = (own.mValue * own.mCount + kPriorSlowness * kPriorWeight) /
-                (own.mCount + kPriorWeight);
+  const worker_factors& worker = mWorkers[aWorker];
+  const average& workerAverage = worker.mSlowness;
+  double workerSlowness = (workerAverage.mValue * workerAverage.mCount +
+                           kPriorSlowness * kPriorWeight) /
+                          (workerAverage.mCount + kPriorWeight);
   if (aProfile >= worker.mByProfile.size()) {
-    return base;
+    return workerSlowness;
   }
   const average& pair = worker.mByProfile[aProfile];
-  return (pair.mValue * pair.mCount + base * kPairWeight) /
+  return (pair.mValue * pair.mCount + workerSlowness * kPairWeight) /
          (pair.mCount + kPairWeight);
 }
 
@@ -77,15 +80,15 @@
 duration
 run_time_estimator::Expected(uint32_t aProfile, uint32_t aWorker) const
 {
-  double mean = double(Mean(aProfile).count());
-  return duration(int64_t(mean * Slowness(aProfile, aWorker)));
+  double profileMean = double(Mean(aProfile).count());
+  return duration(int64_t(profileMean * Slowness(aProfile, aWorker)));
 }
 
 void
 run_time_estimator::ForgetWorker(uint32_t aWorker)
 {
   if (aWorker < mWorkers.size()) {
-    mWorkers[aWorker] = worker_row();
+    mWorkers[aWorker] = worker_factors();
   }
 }
 
--- a/cactusmast/estimator.h
+++ b/cactusmast/estimator.h
@@ -27,7 +27,7 @@
 class run_time_estimator
 {
 public:
-  void Observe(uint32_t aProfile, uint32_t aWorker, duration aRun);
+  void Observe(uint32_t aProfile, uint32_t aWorker, duration aRunTime);
 
   // Relative to the mean of the profile; about 1 for an average worker.
   double Slowness(uint32_t aProfile, uint32_t aWorker) const;
@@ -50,14 +50,14 @@
     void Add(double aSample, uint32_t aWindow);
   };
 
-  struct worker_row
+  struct worker_factors
   {
     average mSlowness;
     std::vector<average> mByProfile;
   };
 
   std::vector<average> mProfiles;
-  std::vector<worker_row> mWorkers;
+  std::vector<worker_factors> mWorkers;
 };
 
 } // namespace cactusmast
--- a/cactusmast/health.cc
+++ b/cactusmast/health.cc
@@ -7,38 +7,38 @@
 namespace {
 
 // ln(200): about one healthy worker in 200 would be set aside by chance.
-constexpr double kThreshold = 5.3;
+constexpr double kQuarantineLogRatio = 5.3;
 constexpr double kBrokenFailureRate = 0.95;
 constexpr double kMinFailureRate = 0.01;
-constexpr double kFleetFailing = 0.5;
-constexpr double kRateGain = 0.1;
-constexpr uint32_t kMaxRamp = 1024;
+constexpr double kFleetFailureRate = 0.5;
+constexpr double kFailureRateGain = 0.1;
+constexpr uint32_t kMaxTaskLimit = 1024;
 
 } // namespace
 
 void
 worker_health::Reset(uint32_t aWorker)
 {
-  if (aWorker >= mRows.size()) {
-    mRows.resize(aWorker + 1);
+  if (aWorker >= mWorkers.size()) {
+    mWorkers.resize(aWorker + 1);
   }
-  mRows[aWorker] = row();
-  mRows[aWorker].mPresent = true;
+  mWorkers[aWorker] = worker_record();
+  mWorkers[aWorker].mPresent = true;
 }
 
 void
 worker_health::Remove(uint32_t aWorker)
 {
-  mRows[aWorker].mPresent = false;
+  mWorkers[aWorker].mPresent = false;
 }
 
 double
 worker_health::MedianFailureRate() const
 {
   std::vector<double> rates;
-  for (const row& entry : mRows) {
-    if (entry.mPresent && entry.mResults > 0) {
-      rates.push_back(entry.mFailureRate);
+  for (const worker_record& worker : mWorkers) {
+    if (worker.mPresent && worker.mResults > 0) {
+      rates.push_back(worker.mFailureRate);
     }
   }
   if (rates.empty()) {
@@ -54,58 +54,59 @@
 void
 worker_health::RecordSuccess(uint32_t aWorker, instant aStarted)
 {
-  row& entry = mRows[aWorker];
-  entry.mResults++;
-  entry.mFailureRate -= entry.mFailureRate * kRateGain;
-  if (aStarted <= entry.mLastFailure) {
+  worker_record& worker = mWorkers[aWorker];
+  worker.mResults++;
+  worker.mFailureRate -= worker.mFailureRate * kFailureRateGain;
+  if (aStarted <= worker.mLastFailure) {
     // It started before the worker went wrong, and tells nothing of now.
     return;
   }
-  if (entry.mEvidence > 0) {
+  if (worker.mLogLikelihoodRatio > 0) {
     double usual = std::min(kBrokenFailureRate, MedianFailureRate());
-    entry.mEvidence += std::log((1 - kBrokenFailureRate) / (1 - usual));
-    entry.mEvidence = std::max(0.0, entry.mEvidence);
+    worker.mLogLikelihoodRatio +=
+      std::log((1 - kBrokenFailureRate) / (1 - usual));
+    worker.mLogLikelihoodRatio = std::max(0.0, worker.mLogLikelihoodRatio);
   }
-  entry.mRamp = std::min(kMaxRamp, entry.mRamp * 2);
-  entry.mQuarantine = {};
-  entry.mQuarantinedUntil = {};
+  worker.mTaskLimit = std::min(kMaxTaskLimit, worker.mTaskLimit * 2);
+  worker.mQuarantine = {};
+  worker.mQuarantinedUntil = {};
 }
 
 void
 worker_health::RecordFailure(uint32_t aWorker, instant aNow)
 {
-  row& entry = mRows[aWorker];
-  entry.mResults++;
-  entry.mFailureRate += (1 - entry.mFailureRate) * kRateGain;
-  entry.mLastFailure = aNow;
+  worker_record& worker = mWorkers[aWorker];
+  worker.mResults++;
+  worker.mFailureRate += (1 - worker.mFailureRate) * kFailureRateGain;
+  worker.mLastFailure = aNow;
   double usual =
     std::clamp(MedianFailureRate(), kMinFailureRate, kBrokenFailureRate);
-  entry.mEvidence += std::log(kBrokenFailureRate / usual);
-  if (usual > kFleetFailing) {
+  worker.mLogLikelihoodRatio += std::log(kBrokenFailureRate / usual);
+  if (usual > kFleetFailureRate) {
     return;
   }
-  entry.mRamp = 1;
-  if (entry.mEvidence < kThreshold) {
+  worker.mTaskLimit = 1;
+  if (worker.mLogLikelihoodRatio < kQuarantineLogRatio) {
     return;
   }
-  entry.mEvidence = kThreshold;
-  bool alreadyPaused = entry.mQuarantinedUntil > aNow;
-  if (alreadyPaused) {
+  worker.mLogLikelihoodRatio = kQuarantineLogRatio;
+  bool alreadyQuarantined = worker.mQuarantinedUntil > aNow;
+  if (alreadyQuarantined) {
     return; // a task that was started before the pause
   }
-  entry.mQuarantine =
-    entry.mQuarantine.count() == 0
+  worker.mQuarantine =
+    worker.mQuarantine.count() == 0
       ? mOptions.mFirstQuarantine
       : std::min(mOptions.mMaxQuarantine,
-                 entry.mQuarantine * mOptions.mQuarantineFactor);
-  entry.mQuarantinedUntil = aNow + entry.mQuarantine;
+                 worker.mQuarantine * mOptions.mQuarantineFactor);
+  worker.mQuarantinedUntil = aNow + worker.mQuarantine;
 }
 
 bool
 worker_health::IsQuarantined(uint32_t aWorker, instant aNow) const
 {
-  return mOptions.mEnabled && mRows[aWorker].mQuarantinedUntil > aNow &&
-         MedianFailureRate() <= kFleetFailing;
+  return mOptions.mEnabled && mWorkers[aWorker].mQuarantinedUntil > aNow &&
+         MedianFailureRate() <= kFleetFailureRate;
 }
 
 uint32_t
@@ -114,11 +115,11 @@
   if (!mOptions.mEnabled) {
     return aSlots;
   }
-  const row& entry = mRows[aWorker];
-  if (entry.mQuarantinedUntil > aNow && IsQuarantined(aWorker, aNow)) {
+  const worker_record& worker = mWorkers[aWorker];
+  if (worker.mQuarantinedUntil > aNow && IsQuarantined(aWorker, aNow)) {
     return 0;
   }
-  return std::min(aSlots, entry.mRamp);
+  return std::min(aSlots, worker.mTaskLimit);
 }
 
 } // namespace cactusmast
--- a/cactusmast/health.h
+++ b/cactusmast/health.h
@@ -55,13 +55,13 @@
   bool IsQuarantined(uint32_t aWorker, instant aNow) const;
 
 private:
-  struct row
+  struct worker_record
   {
     bool mPresent = false;
-    double mEvidence = 0; // log likelihood ratio, never below zero
+    double mLogLikelihoodRatio = 0; // log likelihood ratio, never below zero
     double mFailureRate = 0;
     uint32_t mResults = 0;
-    uint32_t mRamp = 1;
+    uint32_t mTaskLimit = 1;
     duration mQuarantine{};
     instant mQuarantinedUntil{};
     instant mLastFailure{};
@@ -70,7 +70,7 @@
   double MedianFailureRate() const;
 
   health_options mOptions;
-  std::vector<row> mRows;
+  std::vector<worker_record> mWorkers;
 };
 
 } // namespace cactusmast
--- a/cactusmast/instance_settings.cc
+++ b/cactusmast/instance_settings.cc
@@ -27,9 +27,9 @@
   aReader.Address("metrics", true, &aOut->mMetrics);
   aReader.Text("shared_key", true, &aOut->mSharedKey);
   aReader.Number("stop_within_ms", 1000, 3600000, &aOut->mStopWithinMs);
-  std::vector<std::string> off;
-  aReader.Names("switched_off", &off);
-  aOut->mMechanisms = mechanism_set::AllBut(off).Value();
+  std::vector<std::string> switchedOff;
+  aReader.Names("switched_off", &switchedOff);
+  aOut->mMechanisms = mechanism_set::AllBut(switchedOff).Value();
 }
 
 } // namespace
@@ -43,11 +43,11 @@
 std::vector<std::string>
 instance_settings::SeedAddresses() const
 {
-  std::vector<std::string> found;
+  std::vector<std::string> addresses;
   for (const std::string& seed : mSeeds) {
-    found.push_back(AddressAt(seed.substr(0, seed.rfind(':'))));
+    addresses.push_back(AddressAt(seed.substr(0, seed.rfind(':'))));
   }
-  return found;
+  return addresses;
 }
 
 result<coordinator_settings>
--- a/cactusmast/route_config.cc
+++ b/cactusmast/route_config.cc
@@ -7,8 +7,8 @@
 route_table::route_table(route_config aConfig)
   : mConfig(std::move(aConfig))
 {
-  for (const route& one : mConfig.mRoutes) {
-    mByHost[one.mHost].push_back(&one);
+  for (const route& candidate : mConfig.mRoutes) {
+    mByHost[candidate.mHost].push_back(&candidate);
   }
   for (auto& [host, routes] : mByHost) {
     std::sort(routes.begin(),
@@ -26,9 +26,9 @@
   if (found == mByHost.end()) {
     return nullptr;
   }
-  for (const route* one : found->second) {
-    if (aPath.substr(0, one->mPrefix.size()) == one->mPrefix) {
-      return one;
+  for (const route* candidate : found->second) {
+    if (aPath.substr(0, candidate->mPrefix.size()) == candidate->mPrefix) {
+      return candidate;
     }
   }
   return nullptr;
--- a/cactusmast/testing/instance_parts_test.cc
+++ b/cactusmast/testing/instance_parts_test.cc
@@ -28,35 +28,35 @@
   void ReadPart(const std::string&, const std::string&, callback aDone) override
   {
     mReads++;
-    mDone = std::move(aDone);
+    mCallback = std::move(aDone);
   }
   void WaitForChange(const std::string&,
                      uint64_t aVersion,
                      uint32_t,
                      callback aDone) override
   {
-    mWatchedFrom = aVersion;
+    mWatchedVersion = aVersion;
     mWatches++;
-    mDone = std::move(aDone);
+    mCallback = std::move(aDone);
   }
   void PutRow(const std::string&, const store_row&, callback) override {}
 
-  void Answer(store_status aStatus, uint64_t aVersion, const std::string& aKey)
+  void Reply(store_status aStatus, uint64_t aVersion, const std::string& aKey)
   {
-    store_reply answer;
-    answer.mStatus = aStatus;
-    answer.mVersion = aVersion;
+    store_reply reply;
+    reply.mStatus = aStatus;
+    reply.mVersion = aVersion;
     if (!aKey.empty()) {
-      answer.mRows.push_back({ aKey, "value", false, "" });
+      reply.mRows.push_back({ aKey, "value", false, "" });
     }
-    callback done = std::move(mDone);
-    done(answer);
+    callback done = std::move(mCallback);
+    done(reply);
   }
 
   int mReads = 0;
   int mWatches = 0;
-  uint64_t mWatchedFrom = 0;
-  callback mDone;
+  uint64_t mWatchedVersion = 0;
+  callback mCallback;
 };
 
 class event_list : public event_sink
@@ -107,12 +107,12 @@
 }
 
 job_step
-StepOf(uint32_t aEstimateMs)
+StepOf(uint32_t aDeclaredMs)
 {
   job_step step;
   step.mCount = 1;
   step.mSize = { 3000, 64, 0 };
-  step.mDeclaredMs = aEstimateMs;
+  step.mDeclaredMs = aDeclaredMs;
   return step;
 }
 
@@ -146,16 +146,16 @@
     events);
   watcher.Tick(seconds(1));
   CHECK(store.mReads == 1);
-  store.Answer(store_status::Ok, 10, "a");
+  store.Reply(store_status::Ok, 10, "a");
   watcher.Tick(seconds(1));
-  CHECK(store.mWatchedFrom == 10);
-  store.Answer(store_status::Ok, 12, "b");
+  CHECK(store.mWatchedVersion == 10);
+  store.Reply(store_status::Ok, 12, "b");
   watcher.Tick(seconds(1));
-  CHECK(store.mWatchedFrom == 12);
-  store.Answer(store_status::HistoryGone, 0, "");
+  CHECK(store.mWatchedVersion == 12);
+  store.Reply(store_status::HistoryGone, 0, "");
   watcher.Tick(seconds(1) + milliseconds(60));
   CHECK(store.mReads == 2);
-  store.Answer(store_status::Ok, 20, "c");
+  store.Reply(store_status::Ok, 20, "c");
   CHECK(keys == std::vector<std::string>{ "a", "b", "c" });
 }
 
@@ -168,8 +168,8 @@
   instant now = seconds(1);
   for (int i = 0; i < 100; i++) {
     watcher.Tick(now);
-    if (store.mDone) {
-      store.Answer(store_status::Unavailable, 0, "");
+    if (store.mCallback) {
+      store.Reply(store_status::Unavailable, 0, "");
     }
     now += milliseconds(100);
   }
@@ -177,7 +177,7 @@
   CHECK(store.mReads <= 30);
   CHECK(!watcher.Available());
   watcher.Tick(now + seconds(1));
-  store.Answer(store_status::Ok, 5, "");
+  store.Reply(store_status::Ok, 5, "");
   CHECK(watcher.Available());
   CHECK(events.mCodes == std::vector<event_code>{ event_code::TableUnavailable,
                                                   event_code::TableAvailable });
@@ -213,9 +213,10 @@
   job_step step = StepOf(900);
   std::vector<server_view> views = { ViewOf(1, 1.67, 32000),
                                      ViewOf(2, 0.6, 32000) };
-  placement_decision now = ChooseServer(views, RequestOf(step, 1500), random);
-  CHECK(now.mVerdict == placement_verdict::Place);
-  CHECK(now.mChoice.mView == 1);
+  placement_decision decision =
+    ChooseServer(views, RequestOf(step, 1500), random);
+  CHECK(decision.mVerdict == placement_verdict::Place);
+  CHECK(decision.mChoice.mView == 1);
   views[1].mFree.mCpuMillis = 0;
   CHECK(ChooseServer(views, RequestOf(step, 1500), random).mVerdict ==
         placement_verdict::Wait);
@@ -228,9 +229,10 @@
   std::vector<server_view> views = { ViewOf(1, 1.0, 32000),
                                      ViewOf(2, 0.6, 4000),
                                      ViewOf(3, 1.0, 0) };
-  placement_decision now = ChooseServer(views, RequestOf(step, 400), random);
-  CHECK(now.mVerdict == placement_verdict::Place);
-  CHECK(now.mChoice.mView == 0);
+  placement_decision decision =
+    ChooseServer(views, RequestOf(step, 400), random);
+  CHECK(decision.mVerdict == placement_verdict::Place);
+  CHECK(decision.mChoice.mView == 0);
   views[1].mFree.mCpuMillis = 30000;
   CHECK(ChooseServer(views, RequestOf(step, 400), random).mChoice.mView == 1);
 }
@@ -261,12 +263,12 @@
 
 TEST_CASE("latencies are served as a histogram that adds up")
 {
-  latency_histogram measured;
+  latency_histogram histogram;
   for (int ms : { 0, 10, 11, 160, 161, 3000 }) {
-    measured.Observe(milliseconds(ms));
+    histogram.Observe(milliseconds(ms));
   }
   metrics_page page;
-  page.Latency("job_seconds", "help", measured);
+  page.Latency("job_seconds", "help", histogram);
   std::string text = page.Render();
   for (const char* line : { "job_seconds_bucket{le=\"0.01\"} 2",
                             "job_seconds_bucket{le=\"0.02\"} 3",
@@ -283,51 +285,51 @@
 {
   // A key that the template lacks or misspells keeps a process from starting
   // on every machine at once.
-  auto filled = [](const std::string& aPath) {
+  auto fillTemplate = [](const std::string& aPath) {
     std::ifstream file(aPath);
     std::ostringstream text;
     text << file.rdbuf();
     std::string out = text.str();
-    auto put = [&out](const std::string& aFrom, const std::string& aTo) {
+    auto substitute = [&out](const std::string& aFrom, const std::string& aTo) {
       for (size_t at = out.find(aFrom); at != std::string::npos;
            at = out.find(aFrom)) {
         out.replace(at, aFrom.size(), aTo);
       }
     };
-    put("{{#seeds}}\"{{.}}\"{{,}}{{/seeds}}", "\"10.1.0.13:8166\"");
-    put("{{portRange.0}}", "7720");
-    put("{{bounds.graceS}}", "6");
+    substitute("{{#seeds}}\"{{.}}\"{{,}}{{/seeds}}", "\"10.1.0.13:8166\"");
+    substitute("{{portRange.0}}", "7720");
+    substitute("{{bounds.graceS}}", "6");
     for (const char* address : { "platform.address",
                                  "listen.front",
                                  "listen.readiness",
                                  "listen.control",
                                  "app" }) {
-      put("{{" + std::string(address) + "}}", "10.1.0.1:80");
+      substitute("{{" + std::string(address) + "}}", "10.1.0.1:80");
     }
     for (const char* name : { "nodeName", "zone", "region", "ip", "service" }) {
-      put("{{" + std::string(name) + "}}", "10.1.0.1");
+      substitute("{{" + std::string(name) + "}}", "10.1.0.1");
     }
     return out;
   };
-  auto coordinator = ReadCoordinatorSettings(filled("deploy/coordinator.yaml"),
-                                             "coordinator.yaml");
+  auto coordinator = ReadCoordinatorSettings(
+    fillTemplate("deploy/coordinator.yaml"), "coordinator.yaml");
   REQUIRE(coordinator.Ok());
   CHECK(coordinator.Value().mInstance.SeedAddresses() ==
         std::vector<std::string>{ "10.1.0.13:7720" });
   CHECK(coordinator.Value().mInstance.mStopWithinMs == 6000);
   auto executor =
-    ReadExecutorSettings(filled("deploy/executor.yaml"), "executor.yaml");
+    ReadExecutorSettings(fillTemplate("deploy/executor.yaml"), "executor.yaml");
   REQUIRE(executor.Ok());
   CHECK(!ReadExecutorSettings("role: executor\nname: x\n", "f").Ok());
 
-  std::string text = filled("deploy/executor.yaml");
-  auto without = ReadExecutorSettings(
+  std::string text = fillTemplate("deploy/executor.yaml");
+  auto reduced = ReadExecutorSettings(
     text + "switched_off: [early_return, learned_speed]\n", "f");
-  REQUIRE(without.Ok());
-  const mechanism_set& left = without.Value().mInstance.mMechanisms;
-  CHECK_FALSE(left.Has(mechanism::EarlyReturn));
-  CHECK_FALSE(left.Has(mechanism::LearnedSpeed));
-  CHECK(left.Has(mechanism::ServerRecall));
+  REQUIRE(reduced.Ok());
+  const mechanism_set& mechanisms = reduced.Value().mInstance.mMechanisms;
+  CHECK_FALSE(mechanisms.Has(mechanism::EarlyReturn));
+  CHECK_FALSE(mechanisms.Has(mechanism::LearnedSpeed));
+  CHECK(mechanisms.Has(mechanism::ServerRecall));
   CHECK(executor.Value().mInstance.mMechanisms.Has(mechanism::EarlyReturn));
   CHECK(!ReadExecutorSettings(text + "switched_off: [hope]\n", "f").Ok());
   CHECK(!ReadExecutorSettings(text + "switched_off: hope\n", "f").Ok());
