--- a/cactusmast/estimator.cc
+++ b/cactusmast/estimator.cc
@@ -5,14 +5,16 @@
 namespace cactusmast {
 namespace {
 
+// Number of observations after which means become exponentially weighted.
 constexpr uint32_t kProfileWindow = 256;
 constexpr uint32_t kWorkerWindow = 64;
-// An untried worker is taken to be somewhat better than average, so that it
-// is tried soon; its warm-up bounds what a wrong guess can cost.
+// A worker without results is assumed to be somewhat faster than average, so
+// that it is tried soon. The limit of tasks on a new worker bounds the cost if
+// the assumption is wrong.
 constexpr double kPriorSlowness = 0.8;
 constexpr double kPriorWeight = 1;
-// Observations after which a pair's own factor weighs as much as its
-// worker's.
+// Number of observations after which the factor of a pair of profile and worker
+// weighs as much as the worker's slowness.
 constexpr double kPairWeight = 16;
 
 } // namespace
--- a/cactusmast/estimator.h
+++ b/cactusmast/estimator.h
@@ -1,17 +1,17 @@
-// Learned run times.
+// Estimates of run times from results.
 //
-// The expected run time of a task is the product of its profile's mean and
-// its worker's slowness, both learned from results alone: declared sizes are
-// often far off, and servers bought over years differ up to sixfold. Each
-// observation updates both factors, the profile's mean with the run time
-// divided by the slowness, and the slowness with the run time divided by the
-// mean. Only the product is ever used, so a common drift of the two factors
-// cancels. A worker that is unusual for one profile only is covered by a
-// factor of the pair, which starts at the worker's own and counts for more as
-// its observations grow.
+// The expected run time of a task is the product of its profile's mean and its
+// worker's slowness. Both are estimated from results alone, because declared
+// sizes are often far off, and the speeds of servers bought over years differ
+// up to sixfold. Each observation updates both factors: the profile's mean with
+// the run time divided by the slowness, and the slowness with the run time
+// divided by the mean. Only the product is ever used, so a common drift of the
+// two factors cancels. A worker that is unusual for one profile only is covered
+// by a factor of the pair, which starts at the worker's slowness and gains
+// weight with its observations.
 //
 // Means are cumulative at first and exponentially weighted afterwards, so
-// that early results count at once and a machine that becomes slow is noticed
+// that early results count at once and a machine that becomes slow is detected
 // within a few dozen tasks.
 
 #ifndef CACTUSMAST_ESTIMATOR_H_
@@ -29,14 +29,16 @@
 public:
   void Observe(uint32_t aProfile, uint32_t aWorker, duration aRunTime);
 
-  // Relative to the mean of the profile; about 1 for an average worker.
+  // Run time on the worker over the mean of the profile: about 1 for an average
+  // worker, above 1 for a slower one.
   double Slowness(uint32_t aProfile, uint32_t aWorker) const;
 
-  // Before any observation: kInitialRun.
+  // Run time on this worker, and on an average one. Before any observation of
+  // the profile, the mean is kInitialRun.
   duration Expected(uint32_t aProfile, uint32_t aWorker) const;
   duration Mean(uint32_t aProfile) const;
 
-  // For a worker whose row is given to another machine.
+  // To be called when the index aWorker is given to another machine.
   void ForgetWorker(uint32_t aWorker);
 
   static constexpr duration kInitialRun = std::chrono::milliseconds(200);
--- a/cactusmast/health.cc
+++ b/cactusmast/health.cc
@@ -6,7 +6,7 @@
 namespace cactusmast {
 namespace {
 
-// ln(200): about one healthy worker in 200 would be set aside by chance.
+// ln(200): about one healthy worker in 200 would be quarantined by chance.
 constexpr double kQuarantineLogRatio = 5.3;
 constexpr double kBrokenFailureRate = 0.95;
 constexpr double kMinFailureRate = 0.01;
@@ -44,8 +44,8 @@
   if (rates.empty()) {
     return 0;
   }
-  // The median, and of two middle values the lower: one broken worker out of
-  // two is then told from the other.
+  // The lower median, so that one broken worker out of two is distinguished
+  // from the other.
   size_t middle = (rates.size() - 1) / 2;
   std::nth_element(rates.begin(), rates.begin() + middle, rates.end());
   return rates[middle];
@@ -58,7 +58,8 @@
   worker.mResults++;
   worker.mFailureRate -= worker.mFailureRate * kFailureRateGain;
   if (aStarted <= worker.mLastFailure) {
-    // It started before the worker went wrong, and tells nothing of now.
+    // The task started before the last failure, so its success says nothing
+    // about the present state of the worker.
     return;
   }
   if (worker.mLogLikelihoodRatio > 0) {
@@ -92,7 +93,7 @@
   worker.mLogLikelihoodRatio = kQuarantineLogRatio;
   bool alreadyQuarantined = worker.mQuarantinedUntil > aNow;
   if (alreadyQuarantined) {
-    return; // a task that was started before the pause
+    return; // the task was started before the quarantine
   }
   worker.mQuarantine =
     worker.mQuarantine.count() == 0
--- a/cactusmast/health.h
+++ b/cactusmast/health.h
@@ -1,17 +1,18 @@
-// Finds workers that fail what they start.
+// Detects workers that fail the tasks they start, and quarantines them.
 //
-// A worker that fails everything looks fast and idle, so a plain dispatcher
-// sends it ever more. Each worker carries a sequential probability ratio of
-// "this worker is broken" (fails 95% of its tasks) against "this worker is
-// like the rest" (fails as often as the median worker). A failure where the
-// rest succeed weighs heavily: two in a row set the worker aside. A failure
-// where the rest fail as well weighs next to nothing, so a bad release does
-// not empty the pool.
+// A worker that fails every task appears fast and idle, so a plain dispatcher
+// would send it more and more tasks. Each worker has a sequential probability
+// ratio test of "this worker is broken" (it fails 95% of its tasks) against
+// "this worker is like the others" (it fails as often as the median worker). A
+// failure while the others succeed weighs heavily: two in a row quarantine the
+// worker. A failure while the others fail as well weighs next to nothing, so
+// that a faulty release does not empty the pool.
 //
-// A worker that was set aside is tried again with one task at a time, after a
-// delay that grows with each failed trial. New and returning workers start
-// with one task at once and double with every success, so that a worker that
-// is broken from the start costs single tasks and not all its slots.
+// After its quarantine a worker is tried with one task at a time. Each failed
+// trial is followed by a longer quarantine. New and returning workers start
+// with one task at a time, and the limit doubles with every success, so that a
+// worker that is broken from the start costs single tasks and not all its
+// slots.
 
 #ifndef CACTUSMAST_HEALTH_H_
 #define CACTUSMAST_HEALTH_H_
@@ -25,12 +26,12 @@
 
 struct health_options
 {
-  // First pause of a worker that was set aside, and the factor by which it
-  // grows with every failed trial, up to the limit.
+  // Length of a worker's first quarantine, and the factor by which it grows
+  // with every failed trial, up to the maximum.
   duration mFirstQuarantine = std::chrono::seconds(5);
   uint32_t mQuarantineFactor = 6;
   duration mMaxQuarantine = std::chrono::minutes(5);
-  // Off only in tests that show what the check is for.
+  // False only in tests that show the effect of the check.
   bool mEnabled = true;
 };
 
@@ -42,27 +43,29 @@
   {
   }
 
-  // A worker that is new or has come back.
+  // Starts the record of a worker that is new or has returned.
   void Reset(uint32_t aWorker);
-  // Of a task that started at aStarted.
+  // aStarted: when the task that succeeded was started.
   void RecordSuccess(uint32_t aWorker, instant aStarted);
   void RecordFailure(uint32_t aWorker, instant aNow);
   void Remove(uint32_t aWorker);
 
-  // Tasks that aWorker may hold at once, at most aSlots; 0 while set aside.
+  // Number of tasks that aWorker may hold at once, at most aSlots; 0 while it
+  // is quarantined.
   uint32_t Limit(uint32_t aWorker, uint32_t aSlots, instant aNow) const;
 
+  // Always false while the median worker fails most of its tasks.
   bool IsQuarantined(uint32_t aWorker, instant aNow) const;
 
 private:
   struct worker_record
   {
     bool mPresent = false;
-    double mLogLikelihoodRatio = 0; // log likelihood ratio, never below zero
-    double mFailureRate = 0;
+    double mLogLikelihoodRatio = 0; // of broken against healthy, at least 0
+    double mFailureRate = 0;        // exponentially weighted
     uint32_t mResults = 0;
-    uint32_t mTaskLimit = 1;
-    duration mQuarantine{};
+    uint32_t mTaskLimit = 1; // doubles with every success
+    duration mQuarantine{};  // length of the last one; 0: none since a success
     instant mQuarantinedUntil{};
     instant mLastFailure{};
   };
--- a/cactusmast/instance_settings.h
+++ b/cactusmast/instance_settings.h
@@ -1,6 +1,6 @@
 // Settings of the programs that serve jobs of sized tasks on a platform that
-// starts one process for an instance: coordinators at the entries, executors
-// beside the backend servers. Reading is as strict as in settings.h.
+// runs one process per instance: coordinators at the entries, executors beside
+// the backend servers. They are parsed as strictly as in settings.h.
 
 #ifndef CACTUSMAST_INSTANCE_SETTINGS_H_
 #define CACTUSMAST_INSTANCE_SETTINGS_H_
@@ -14,22 +14,23 @@
 
 namespace cactusmast {
 
-// Common to both.
+// Settings common to coordinators and executors.
 struct instance_settings
 {
-  std::string mFile; // that these were read from
+  std::string mFile; // path of the settings file
   std::string mName;
   std::string mDataCenter;
   std::string mRegion;
-  std::string mHost;      // this instance's IP number
+  std::string mHost;      // IP address of this instance
   uint32_t mPeerPort = 0; // the same on all instances
-  // Entries that may be there, as HOST:PORT by number; only the hosts count.
+  // Entries that may exist, as HOST:PORT with an IP address; the ports are not
+  // used.
   std::vector<std::string> mSeeds;
-  std::string mStore;         // HOST:PORT of the platform's table store
-  std::string mMetrics;       // HOST:PORT
-  std::string mSharedKey;     // which processes prove to each other
-  uint32_t mStopWithinMs = 0; // from the signal to the end of a planned stop
-  mechanism_set mMechanisms;  // all, but for measurements
+  std::string mStore;         // HOST:PORT of the platform's store
+  std::string mMetrics;       // HOST:PORT that serves metrics
+  std::string mSharedKey;     // processes prove to each other that they know it
+  uint32_t mStopWithinMs = 0; // from the signal to the end of the drain
+  mechanism_set mMechanisms;  // all except in measurements
 
   std::string PeerAddress() const { return AddressAt(mHost); }
   std::vector<std::string> SeedAddresses() const;
@@ -42,7 +43,7 @@
 {
   instance_settings mInstance;
   std::string mFront;     // HOST:PORT for callers
-  std::string mReadiness; // HOST:PORT for the balancer's question
+  std::string mReadiness; // HOST:PORT for readiness checks by the load balancer
 };
 
 struct executor_settings
@@ -50,7 +51,7 @@
   instance_settings mInstance;
   std::string mControl; // HOST:PORT where the backend server announces itself
   std::string mBackend; // HOST:PORT of the backend server
-  std::string mService; // that it serves
+  std::string mService; // that the backend server serves
 };
 
 // Errors: BadRequest, with the file as the peer.
--- a/cactusmast/route_config.h
+++ b/cactusmast/route_config.h
@@ -1,9 +1,9 @@
 // The configuration of routes in force at an entry.
 //
 // A route is chosen by the request's host and the longest prefix of its path.
-// A config_holder keeps the newest document it was ever offered, so that what
-// is in force never goes back, whichever way documents arrive: from the
-// store, late, twice, or from another entry.
+// A config_holder keeps the newest document that it has received, so that the
+// version in force never decreases, even if documents arrive late, twice, from
+// the store or from another entry.
 
 #ifndef CACTUSMAST_ROUTE_CONFIG_H_
 #define CACTUSMAST_ROUTE_CONFIG_H_
@@ -23,16 +23,18 @@
 struct route
 {
   std::string mName;
-  std::string mHost;
-  std::string mPrefix;
+  std::string mHost;   // without a port
+  std::string mPrefix; // of the path
   std::string mService;
-  uint32_t mTimeoutMs = 0;
-  uint32_t mObjectiveBaseMs = 0;  // added to the stretched run time
-  double mObjectiveStretch = 1.0; // of the job's longest chain of run times
-  uint32_t mPriority = 0;         // 0 goes first
+  uint32_t mTimeoutMs = 0; // caller timeout of requests that give none
+  // The objective is this plus mObjectiveStretch times the run time of the job,
+  // which is the sum along its longest chain of steps.
+  uint32_t mObjectiveBaseMs = 0;
+  double mObjectiveStretch = 1.0;
+  uint32_t mPriority = 0; // 0 is the highest
   uint32_t mMaxAttempts = 1;
-  // Only some backend servers may run its steps, by tickets that this system
-  // does not obtain.
+  // True if only backend servers with certain tickets may run its steps. This
+  // system does not obtain such tickets.
   bool mNeedsTickets = false;
 };
 
@@ -51,14 +53,15 @@
   uint32_t mMaxBodyBytes = 262144;
 };
 
-// Finds routes by host and path in time independent of their number.
+// Finds routes by host and path in a time that does not depend on the number of
+// hosts.
 class route_table
 {
 public:
   explicit route_table(route_config aConfig);
 
   const route_config& Config() const { return mConfig; }
-  // Null when no route matches. Ports in aHost are ignored.
+  // Null if no route matches. A port in aHost is ignored.
   const route* Find(std::string_view aHost, std::string_view aPath) const;
 
 private:
@@ -77,14 +80,16 @@
   {
   }
 
-  // Takes aText over when it is newer than what is in force. The result says
-  // whether it was; documents that cannot be decoded are errors.
+  // Puts the document aText in force if it is newer than the current one. True
+  // if it is newer; an error if it cannot be decoded.
   result<bool> Update(const std::string& aText);
 
-  // Null before the first document. Requests keep the table that they were
-  // routed by.
+  // Null before the first document. Requests hold on to the table by which they
+  // were routed.
   const std::shared_ptr<const route_table>& Table() const { return mTable; }
+  // 0 before the first document.
   uint64_t Version() const { return mVersion; }
+
   const std::string& Text() const { return mText; }
 
 private:
--- a/cactusmast/speed_estimate.h
+++ b/cactusmast/speed_estimate.h
@@ -1,5 +1,6 @@
-// How slow a backend server is, from the tasks that ended there: their run
-// times over what their callers declared, older tasks counting less.
+// Estimate of how slow a backend server is: the run times of the tasks that
+// ended there over the run times that their callers declared. Older tasks
+// decay.
 //
 //   speed_estimate speed;
 //   speed.Observe(90, 60);
@@ -13,7 +14,7 @@
 class speed_estimate
 {
 public:
-  // aPrior: the slowness to begin with.
+  // aPrior: the slowness before any observation.
   explicit speed_estimate(double aPrior = 1)
     : mPrior(aPrior)
   {
--- a/cactusmast/testing/instance_parts_test.cc
+++ b/cactusmast/testing/instance_parts_test.cc
@@ -1,5 +1,5 @@
-// The smaller parts of coordinators and executors: watching a table, knowing
-// entries, placing tasks, reading settings.
+// The smaller parts of coordinators and executors: table watcher, directory of
+// entries, placement, settings.
 
 #include <cmath>
 #include <deque>
@@ -118,7 +118,7 @@
 
 } // namespace
 
-TEST_CASE("the looked-up normal tail agrees with the exact one")
+TEST_CASE("the normal tail from the lookup table agrees with the exact one")
 {
   for (double x = -6; x <= 6; x += 0.0037) {
     double exact = 0.5 * std::erfc(x / std::sqrt(2.0));
@@ -126,11 +126,12 @@
   }
 }
 
-TEST_CASE("a watch that loses its history reads the table anew")
+TEST_CASE("a watcher reads the whole table again when the history is gone")
 {
-  // The store drops its history while nobody hears of changes. A watcher that
-  // went on from its old version would never learn what it missed, and users
-  // would be served by a configuration that is no longer in force.
+  // The store discards its history while no change reaches the watcher. A
+  // watcher that continued from its old version would miss the changes in
+  // between, and users would be served with a configuration that is no longer
+  // in force.
   fake_store store;
   event_list events;
   std::vector<std::string> keys;
@@ -159,7 +160,8 @@
   CHECK(keys == std::vector<std::string>{ "a", "b", "c" });
 }
 
-TEST_CASE("a store that is away is asked again, slower, and its return is told")
+TEST_CASE(
+  "an unavailable store is retried with backoff, and its return is reported")
 {
   fake_store store;
   event_list events;
@@ -183,10 +185,11 @@
                                                   event_code::TableAvailable });
 }
 
-TEST_CASE("entries that are gone for good are forgotten, seeds are not")
+TEST_CASE(
+  "entries that stay down are removed from the directory, seeds are not")
 {
-  // Entries are replaced under new addresses all day. Dialling all of their
-  // predecessors for ever would cost more each day.
+  // Entries are replaced under new addresses all day. Connecting to all
+  // previous addresses for ever would cost more each day.
   entry_directory directory("own:1");
   instant now = seconds(1);
   CHECK(!directory.Add("own:1", false, now));
@@ -204,11 +207,11 @@
   CHECK(directory.Due(now) == std::vector<std::string>{ "seed:1" });
 }
 
-TEST_CASE("a long task goes to the fast server, also if it must wait for it")
+TEST_CASE("a long task goes to a fast server even if it must wait for one")
 {
-  // A task of 900 ms cannot end within 1500 ms on a server that takes 1.67
-  // times as long if it is any longer than declared. Its user is better off
-  // when it waits 100 ms for a fast one.
+  // If a task of 900 ms takes any longer than declared, it cannot end within
+  // 1500 ms on a server that takes 1.67 times as long. It is more likely to end
+  // in time if it waits 100 ms for a fast one.
   fixed_random random;
   job_step step = StepOf(900);
   std::vector<server_view> views = { ViewOf(1, 1.67, 32000),
@@ -222,7 +225,8 @@
         placement_verdict::Wait);
 }
 
-TEST_CASE("short tasks leave the last room of fast servers to long ones")
+TEST_CASE(
+  "short tasks leave the last free capacity of fast servers to long ones")
 {
   fixed_random random;
   job_step step = StepOf(60);
@@ -237,7 +241,7 @@
   CHECK(ChooseServer(views, RequestOf(step, 400), random).mChoice.mView == 1);
 }
 
-TEST_CASE("what no server can end in time is called hopeless at once")
+TEST_CASE("a task that no server can end in time is infeasible at once")
 {
   fixed_random random;
   job_step step = StepOf(900);
@@ -248,10 +252,11 @@
         placement_verdict::NoCandidate);
 }
 
-TEST_CASE("a job is impossible only when every server has said so")
+TEST_CASE(
+  "a job is unsatisfiable only if the capacity of every server is known")
 {
-  // An entry that has just started has heard of no server's size. If it took
-  // that for too small, users' jobs would fail that any server can run.
+  // An entry that has just started knows the capacity of no server. If it took
+  // an unknown capacity for too small, jobs would fail that any server can run.
   job_step step = StepOf(60);
   step.mSize.mCpuMillis = 64000;
   std::vector<server_view> views = { ViewOf(1, 1, 0), ViewOf(2, 1, 0) };
@@ -261,7 +266,7 @@
   CHECK(!IsUnsatisfiable({}, "s", step));
 }
 
-TEST_CASE("latencies are served as a histogram that adds up")
+TEST_CASE("latencies are served as a cumulative histogram with count and sum")
 {
   latency_histogram histogram;
   for (int ms : { 0, 10, 11, 160, 161, 3000 }) {
@@ -281,10 +286,10 @@
   }
 }
 
-TEST_CASE("the templates of the deployment hold all keys of the settings")
+TEST_CASE("the deployment templates contain all keys of the settings")
 {
-  // A key that the template lacks or misspells keeps a process from starting
-  // on every machine at once.
+  // A key that is missing or misspelt in a template would keep the process from
+  // starting on every machine at once.
   auto fillTemplate = [](const std::string& aPath) {
     std::ifstream file(aPath);
     std::ostringstream text;
@@ -335,12 +340,11 @@
   CHECK(!ReadExecutorSettings(text + "switched_off: hope\n", "f").Ok());
 }
 
-TEST_CASE("requests before the first configuration wait, but not for ever")
+TEST_CASE("requests before the first configuration wait for a limited time")
 {
-  // All entries lose power and come back together. Each listens some tens of
-  // milliseconds before it has read its configuration, and the callers are
-  // already there. A refusal at that moment loses a request that the entry
-  // could serve in full a moment later.
+  // All entries lose power and restart together. Each accepts requests some
+  // tens of milliseconds before it has read its configuration. A refusal in
+  // that time would lose a request that the entry could serve a moment later.
   startup_queue queue;
   instant start = seconds(5);
   CHECK(queue.Add(1, 100, start));
@@ -349,13 +353,14 @@
   CHECK(queue.TakeAll() == std::vector<caller_id>{ 1, 2 });
   CHECK(queue.IsEmpty());
 
-  // The store stays away: who has waited is told, the others wait on.
+  // The store stays unavailable: requests that have waited too long are
+  // returned, the others wait on.
   CHECK(queue.Add(3, 100, start));
   CHECK(queue.Add(4, 100, start + milliseconds(50)));
   CHECK(queue.TakeOverdue(start + kStartupHold) == std::vector<caller_id>{ 3 });
   CHECK(queue.TakeAll() == std::vector<caller_id>{ 4 });
 
-  // Large bodies must not fill the memory; what is taken makes space again.
+  // Large bodies must not fill the memory; requests that are taken free it.
   CHECK(queue.Add(5, kMaxStartupBytes, start));
   CHECK_FALSE(queue.Add(6, 1, start));
   queue.TakeAll();
