--- a/cactusmast/testing/fake_server.cc
+++ b/cactusmast/testing/fake_server.cc
@@ -5,8 +5,8 @@
 namespace cactusmast::testing {
 namespace {
 
-constexpr duration kWay = std::chrono::microseconds(500); // of a message
-constexpr duration kOrderTimeout = milliseconds(30);
+constexpr duration kMessageDelay = std::chrono::microseconds(500);
+constexpr duration kRequestTimeout = milliseconds(30);
 
 } // namespace
 
@@ -20,7 +20,7 @@
 fake_server::ClockMs() const
 {
   return std::chrono::duration_cast<milliseconds>(mWorld.Now()).count() -
-         mBornMs + 1000;
+         mStartTimeMs + 1000;
 }
 
 void
@@ -30,7 +30,7 @@
 }
 
 bool
-fake_server::Unanswered()
+fake_server::IsUnanswered()
 {
   return mDown || mWorld.Uniform() < mUnansweredShare;
 }
@@ -42,150 +42,156 @@
 }
 
 start_result
-fake_server::CarryOut(const start_request& aOrder)
+fake_server::Execute(const start_request& aRequest)
 {
-  if (aOrder.mFencingToken < mFence) {
+  if (aRequest.mFencingToken < mFencingToken) {
     return start_result::FencedOff;
   }
-  mFence = aOrder.mFencingToken;
-  auto running = mRunning.find(aOrder.mTask);
-  if (running != mRunning.end() && running->second.mRun == aOrder.mRunNumber) {
+  mFencingToken = aRequest.mFencingToken;
+  auto running = mRunning.find(aRequest.mTask);
+  if (running != mRunning.end() &&
+      running->second.mRunNumber == aRequest.mRunNumber) {
     return start_result::Started;
   }
-  auto last = mLastRun.find(aOrder.mTask);
+  auto last = mLastRunNumbers.find(aRequest.mTask);
   if (running != mRunning.end() ||
-      (last != mLastRun.end() && aOrder.mRunNumber <= last->second)) {
+      (last != mLastRunNumbers.end() && aRequest.mRunNumber <= last->second)) {
     return start_result::OldRun;
   }
-  if (aOrder.mLeaseUntilMs <= ClockMs()) {
+  if (aRequest.mLeaseUntilMs <= ClockMs()) {
     return start_result::LeaseOver;
   }
-  mLeaseUntilMs = std::max(mLeaseUntilMs, aOrder.mLeaseUntilMs);
-  run& started = mRunning[aOrder.mTask];
-  started.mRun = aOrder.mRunNumber;
-  started.mSince = mWorld.Now();
+  mLeaseUntilMs = std::max(mLeaseUntilMs, aRequest.mLeaseUntilMs);
+  run& started = mRunning[aRequest.mTask];
+  started.mRunNumber = aRequest.mRunNumber;
+  started.mStartedAt = mWorld.Now();
   started.mAdvancedAt = mWorld.Now();
-  started.mWorkMs = std::stod(aOrder.mSpec);
+  started.mWorkMs = std::stod(aRequest.mSpec);
   started.mCpu = 3000;
   mStarts++;
-  mWorld.NoteStart(aOrder.mTask, mIndex);
+  mWorld.OnTaskStart(aRequest.mTask, mIndex);
   return start_result::Started;
 }
 
 void
-fake_server::Start(const start_request& aOrder)
+fake_server::Start(const start_request& aRequest)
 {
-  auto answer = [this, aOrder](start_result aResult) {
-    After(kWay, [this, aOrder, aResult] {
-      mWorld.Deliver(true, mIndex, [this, aOrder, aResult] {
-        mWorld.Executor(mIndex).OnStartReply(
-          aOrder.mTask, aOrder.mRunNumber, aResult, ClockMs(), mWorld.Now());
+  auto reply = [this, aRequest](start_result aResult) {
+    After(kMessageDelay, [this, aRequest, aResult] {
+      mWorld.Deliver(true, mIndex, [this, aRequest, aResult] {
+        mWorld.Executor(mIndex).OnStartReply(aRequest.mTask,
+                                             aRequest.mRunNumber,
+                                             aResult,
+                                             ClockMs(),
+                                             mWorld.Now());
       });
     });
   };
-  if (!Unanswered()) {
-    answer(CarryOut(aOrder));
+  if (!IsUnanswered()) {
+    reply(Execute(aRequest));
     return;
   }
   if (!mDown) {
     After(milliseconds(int64_t(2000 + 2000 * mWorld.Uniform())),
-          [this, aOrder, born = mBornMs] {
-            if (born == mBornMs && !mDown) {
-              CarryOut(aOrder);
+          [this, aRequest, startTimeMs = mStartTimeMs] {
+            if (startTimeMs == mStartTimeMs && !mDown) {
+              Execute(aRequest);
             }
           });
   }
-  After(kOrderTimeout, [answer] { answer(start_result::NoAnswer); });
+  After(kRequestTimeout, [reply] { reply(start_result::NoAnswer); });
 }
 
 void
-fake_server::CarryOut(const stop_request& aOrder)
+fake_server::Execute(const stop_request& aRequest)
 {
-  auto running = mRunning.find(aOrder.mTask);
-  if (running != mRunning.end() && running->second.mRun <= aOrder.mRunNumber) {
-    End(aOrder.mTask, end_kind::Stopped);
+  auto running = mRunning.find(aRequest.mTask);
+  if (running != mRunning.end() &&
+      running->second.mRunNumber <= aRequest.mRunNumber) {
+    End(aRequest.mTask, end_kind::Stopped);
   }
-  uint32_t& last = mLastRun[aOrder.mTask];
-  last = std::max(last, aOrder.mRunNumber);
+  uint32_t& last = mLastRunNumbers[aRequest.mTask];
+  last = std::max(last, aRequest.mRunNumber);
 }
 
 void
-fake_server::Stop(const stop_request& aOrder)
+fake_server::Stop(const stop_request& aRequest)
 {
-  auto answer = [this, aOrder](bool aAnswered) {
-    After(kWay, [this, aOrder, aAnswered] {
-      mWorld.Deliver(true, mIndex, [this, aOrder, aAnswered] {
+  auto reply = [this, aRequest](bool aAcknowledged) {
+    After(kMessageDelay, [this, aRequest, aAcknowledged] {
+      mWorld.Deliver(true, mIndex, [this, aRequest, aAcknowledged] {
         mWorld.Executor(mIndex).OnStopReply(
-          aOrder.mTask, aOrder.mRunNumber, aAnswered, mWorld.Now());
+          aRequest.mTask, aRequest.mRunNumber, aAcknowledged, mWorld.Now());
       });
     });
   };
-  if (!Unanswered()) {
-    CarryOut(aOrder);
-    answer(true);
+  if (!IsUnanswered()) {
+    Execute(aRequest);
+    reply(true);
     return;
   }
-  After(kOrderTimeout, [answer] { answer(false); });
+  After(kRequestTimeout, [reply] { reply(false); });
 }
 
 server_snapshot
-fake_server::CarryOut(const poll_request& aOrder)
+fake_server::Execute(const poll_request& aRequest)
 {
-  if (aOrder.mLeaseUntilMs > 0) {
-    mLeaseUntilMs = std::max(mLeaseUntilMs, aOrder.mLeaseUntilMs);
+  if (aRequest.mLeaseUntilMs > 0) {
+    mLeaseUntilMs = std::max(mLeaseUntilMs, aRequest.mLeaseUntilMs);
   }
-  while (!mEnded.empty() && mEnded.front().mNumber <= aOrder.mLastEndSeen) {
+  while (!mEnded.empty() && mEnded.front().mNumber <= aRequest.mLastEndSeen) {
     mEnded.pop_front();
   }
-  server_snapshot seen;
-  seen.mClockMs = ClockMs();
-  seen.mStartTimeMs = mBornMs;
-  for (const auto& [key, one] : mRunning) {
+  server_snapshot snapshot;
+  snapshot.mClockMs = ClockMs();
+  snapshot.mStartTimeMs = mStartTimeMs;
+  for (const auto& [key, current] : mRunning) {
     running_task row;
     row.mTask = key;
-    row.mRunNumber = one.mRun;
-    row.mPercent = uint32_t(std::min(99.0, 100 * one.mDoneMs / one.mWorkMs));
-    seen.mRunning.push_back(row);
+    row.mRunNumber = current.mRunNumber;
+    row.mPercent =
+      uint32_t(std::min(99.0, 100 * current.mDoneMs / current.mWorkMs));
+    snapshot.mRunning.push_back(row);
   }
-  seen.mEnded.assign(mEnded.begin(), mEnded.end());
-  return seen;
+  snapshot.mEnded.assign(mEnded.begin(), mEnded.end());
+  return snapshot;
 }
 
 void
-fake_server::Poll(const poll_request& aOrder)
+fake_server::Poll(const poll_request& aRequest)
 {
-  auto answer = [this, aOrder](poll_result aResult,
-                               const server_snapshot& aSeen) {
-    After(kWay, [this, aOrder, aResult, aSeen] {
-      mWorld.Deliver(true, mIndex, [this, aOrder, aResult, aSeen] {
+  auto reply = [this, aRequest](poll_result aResult,
+                                const server_snapshot& aSnapshot) {
+    After(kMessageDelay, [this, aRequest, aResult, aSnapshot] {
+      mWorld.Deliver(true, mIndex, [this, aRequest, aResult, aSnapshot] {
         mWorld.Executor(mIndex).OnPollReply(
-          aOrder.mNumber, aResult, aSeen, mWorld.Now());
+          aRequest.mNumber, aResult, aSnapshot, mWorld.Now());
       });
     });
   };
-  if (Unanswered()) {
-    After(milliseconds(aOrder.mWaitMs) + kOrderTimeout,
-          [answer] { answer(poll_result::NoAnswer, {}); });
+  if (IsUnanswered()) {
+    After(milliseconds(aRequest.mWaitMs) + kRequestTimeout,
+          [reply] { reply(poll_result::NoAnswer, {}); });
     return;
   }
-  server_snapshot now = CarryOut(aOrder);
-  if (!now.mEnded.empty() || aOrder.mWaitMs == 0) {
-    answer(poll_result::Ok, now);
+  server_snapshot firstSnapshot = Execute(aRequest);
+  if (!firstSnapshot.mEnded.empty() || aRequest.mWaitMs == 0) {
+    reply(poll_result::Ok, firstSnapshot);
     return;
   }
   // Answered at the next end or after the wait, whichever comes first.
-  uint64_t number = aOrder.mNumber;
-  auto finish = [this, aOrder, answer] {
+  uint64_t number = aRequest.mNumber;
+  auto finish = [this, aRequest, reply] {
     if (!mDown) {
-      answer(poll_result::Ok, CarryOut(aOrder));
+      reply(poll_result::Ok, Execute(aRequest));
     }
   };
-  mWaitingLooks.emplace_back(number, finish);
-  After(milliseconds(aOrder.mWaitMs), [this, number] {
-    for (auto at = mWaitingLooks.begin(); at != mWaitingLooks.end(); ++at) {
+  mWaitingPolls.emplace_back(number, finish);
+  After(milliseconds(aRequest.mWaitMs), [this, number] {
+    for (auto at = mWaitingPolls.begin(); at != mWaitingPolls.end(); ++at) {
       if (at->first == number) {
         auto run = at->second;
-        mWaitingLooks.erase(at);
+        mWaitingPolls.erase(at);
         run();
         return;
       }
@@ -200,15 +206,15 @@
   ended_task end;
   end.mNumber = ++mEnds;
   end.mTask = aTask;
-  end.mRunNumber = found->second.mRun;
+  end.mRunNumber = found->second.mRunNumber;
   end.mHow = aHow;
   mEnded.push_back(end);
-  mLastRun[aTask] = end.mRunNumber;
+  mLastRunNumbers[aTask] = end.mRunNumber;
   mRunning.erase(found);
-  mWorld.NoteEnd(aTask, aHow);
+  mWorld.OnTaskEnd(aTask, aHow);
   mWorld.mRunningAt[aTask].erase(mIndex);
-  auto waiting = std::move(mWaitingLooks);
-  mWaitingLooks.clear();
+  auto waiting = std::move(mWaitingPolls);
+  mWaitingPolls.clear();
   for (auto& [number, finish] : waiting) {
     finish();
   }
@@ -220,23 +226,23 @@
   if (mDown) {
     return;
   }
-  bool lapsed = ClockMs() >= mLeaseUntilMs;
+  bool leaseExpired = ClockMs() >= mLeaseUntilMs;
   std::vector<std::pair<task_key, end_kind>> ends;
   int64_t cpu = 0;
-  for (auto& [key, one] : mRunning) {
-    double passed =
-      double((mWorld.Now() - one.mAdvancedAt).count()) / 1000 * mSpeed;
-    one.mAdvancedAt = mWorld.Now();
-    one.mDoneMs += mHangs ? 0 : passed;
-    cpu += one.mCpu;
-    if (lapsed) {
+  for (auto& [key, current] : mRunning) {
+    double progressMs =
+      double((mWorld.Now() - current.mAdvancedAt).count()) / 1000 * mSpeed;
+    current.mAdvancedAt = mWorld.Now();
+    current.mDoneMs += mHangs ? 0 : progressMs;
+    cpu += current.mCpu;
+    if (leaseExpired) {
       ends.emplace_back(key, end_kind::Lapsed);
-    } else if (one.mDoneMs >= one.mWorkMs) {
+    } else if (current.mDoneMs >= current.mWorkMs) {
       ends.emplace_back(key, mFailsAll ? end_kind::Failed : end_kind::Done);
     }
   }
   if (cpu > mCapacity.mCpuMillis) {
-    mWorld.Violate("server " + std::to_string(mIndex) + " over capacity");
+    mWorld.AddViolation("server " + std::to_string(mIndex) + " over capacity");
   }
   for (const auto& [key, how] : ends) {
     if (mRunning.count(key) > 0) {
@@ -248,32 +254,33 @@
 void
 fake_server::Crash()
 {
-  for (const auto& [key, one] : mRunning) {
+  for (const auto& [key, current] : mRunning) {
     mWorld.mRunningAt[key].erase(mIndex);
   }
   mRunning.clear();
-  mLastRun.clear();
+  mLastRunNumbers.clear();
   mEnded.clear();
-  mWaitingLooks.clear();
+  mWaitingPolls.clear();
   mEnds = 0;
-  mFence = 0;
+  mFencingToken = 0;
   mSequence = 0;
   mLeaseUntilMs = 0;
   mDraining = false;
-  mBornMs = std::chrono::duration_cast<milliseconds>(mWorld.Now()).count();
+  mStartTimeMs = std::chrono::duration_cast<milliseconds>(mWorld.Now()).count();
 }
 
 server_announcement
 fake_server::Announce()
 {
-  server_announcement said;
-  said.mId = "s" + std::to_string(mIndex) + "-" + std::to_string(mBornMs);
-  said.mService = "service";
-  said.mStartTimeMs = mBornMs;
-  said.mSequence = ++mSequence;
-  said.mDraining = mDraining;
-  said.mCapacity = mCapacity;
-  return said;
+  server_announcement announcement;
+  announcement.mId =
+    "s" + std::to_string(mIndex) + "-" + std::to_string(mStartTimeMs);
+  announcement.mService = "service";
+  announcement.mStartTimeMs = mStartTimeMs;
+  announcement.mSequence = ++mSequence;
+  announcement.mDraining = mDraining;
+  announcement.mCapacity = mCapacity;
+  return announcement;
 }
 
 } // namespace cactusmast::testing
--- a/cactusmast/testing/sized_load.cc
+++ b/cactusmast/testing/sized_load.cc
@@ -4,15 +4,15 @@
 namespace {
 
 // Of a backend server, for the tasks of the world.
-constexpr double kSlots = 10;
-constexpr duration kAfterwards = std::chrono::seconds(5);
+constexpr double kTasksPerServer = 10;
+constexpr duration kCompletionTime = std::chrono::seconds(5);
 // Far beyond all objectives.
-constexpr uint32_t kWaitMs = 8000;
+constexpr uint32_t kCallerTimeoutMs = 8000;
 // As in the world's route.
 constexpr double kObjectiveBaseMs = 60;
 constexpr double kObjectiveStretch = 1.6;
 constexpr double kHotEntryWeight = 5;
-constexpr size_t kEntriesPerHotOne = 10;
+constexpr size_t kEntriesPerHotEntry = 10;
 
 struct job_kind
 {
@@ -38,16 +38,16 @@
   for (const job_kind& kind : kKinds) {
     workS += kind.mShare * kind.WorkS();
   }
-  return aLoad * speed * kSlots / workS;
+  return aLoad * speed * kTasksPerServer / workS;
 }
 
 size_t
 DrawKind(std::mt19937* aRandom)
 {
-  double drawn = std::uniform_real_distribution<>(0, 1)(*aRandom);
+  double remaining = std::uniform_real_distribution<>(0, 1)(*aRandom);
   size_t kind = 0;
-  while (kind + 1 < std::size(kKinds) && drawn >= kKinds[kind].mShare) {
-    drawn -= kKinds[kind].mShare;
+  while (kind + 1 < std::size(kKinds) && remaining >= kKinds[kind].mShare) {
+    remaining -= kKinds[kind].mShare;
     kind++;
   }
   return kind;
@@ -57,7 +57,7 @@
 EntryWeights(size_t aEntries)
 {
   std::vector<double> weights(aEntries, 1);
-  for (size_t i = 0; i < aEntries; i += kEntriesPerHotOne) {
+  for (size_t i = 0; i < aEntries; i += kEntriesPerHotEntry) {
     weights[i] = kHotEntryWeight;
   }
   return { weights.begin(), weights.end() };
@@ -75,10 +75,10 @@
   if (aCaller.mEnding != job_ending::Completed) {
     return;
   }
-  duration took = aCaller.mAnsweredAt - aCaller.mSentAt;
-  double tookMs = double(took.count()) / 1000;
-  aOut->mRatios.push_back(tookMs / aKind.mWorkMs);
-  if (tookMs > kObjectiveStretch * aKind.mWorkMs + kObjectiveBaseMs) {
+  duration responseTime = aCaller.mAnsweredAt - aCaller.mSentAt;
+  double responseMs = double(responseTime.count()) / 1000;
+  aOut->mRatios.push_back(responseMs / aKind.mWorkMs);
+  if (responseMs > kObjectiveStretch * aKind.mWorkMs + kObjectiveBaseMs) {
     aOut->mLate++;
     return;
   }
@@ -97,32 +97,35 @@
 {
   std::mt19937 random(aSeed);
   std::discrete_distribution<size_t> entries = EntryWeights(aWorld->Entries());
-  std::uniform_int_distribution<int64_t> moments(0, aSpan.count());
+  std::uniform_int_distribution<int64_t> submitTimes(0, aSpan.count());
   double spanS = double(aSpan.count()) / 1e6;
   auto jobs = size_t(JobsPerSecond(aWorld, aLoad) * spanS);
   std::map<uint64_t, size_t> kinds; // by job
   for (size_t i = 0; i < jobs; i++) {
     size_t kind = DrawKind(&random);
     size_t entry = entries(random);
-    instant moment = duration(moments(random));
+    instant submitTime = duration(submitTimes(random));
     double declared = kKinds[kind].mWorkMs;
     if (aDeclaredSigma > 0) {
       declared *= std::lognormal_distribution<>(0, aDeclaredSigma)(random);
     }
-    aWorld->At(moment, [aWorld, entry, kind, declared, &kinds] {
-      const job_kind& drawn = kKinds[kind];
-      uint64_t job = aWorld->Submit(
-        entry, drawn.mTasks, drawn.mWorkMs, kWaitMs, uint32_t(declared));
+    aWorld->At(submitTime, [aWorld, entry, kind, declared, &kinds] {
+      const job_kind& chosen = kKinds[kind];
+      uint64_t job = aWorld->Submit(entry,
+                                    chosen.mTasks,
+                                    chosen.mWorkMs,
+                                    kCallerTimeoutMs,
+                                    uint32_t(declared));
       kinds[job] = kind;
     });
   }
-  aWorld->Run(aSpan + kAfterwards);
-  load_result made;
-  made.mJobs = jobs;
-  for (const caller_record& one : aWorld->Callers()) {
-    Count(one, kKinds[kinds.at(one.mJob)], &made);
+  aWorld->Run(aSpan + kCompletionTime);
+  load_result totals;
+  totals.mJobs = jobs;
+  for (const caller_record& caller : aWorld->Callers()) {
+    Count(caller, kKinds[kinds.at(caller.mJob)], &totals);
   }
-  return made;
+  return totals;
 }
 
 } // namespace cactusmast::testing
--- a/cactusmast/testing/sized_world.cc
+++ b/cactusmast/testing/sized_world.cc
@@ -5,11 +5,11 @@
 namespace cactusmast::testing {
 namespace {
 
-constexpr duration kWay = std::chrono::microseconds(500); // of a message
+constexpr duration kMessageDelay = std::chrono::microseconds(500);
 constexpr duration kTick = milliseconds(10);
 constexpr duration kStoreTick = milliseconds(100);
-constexpr duration kDialInterval = milliseconds(100);
-constexpr duration kHeartbeat = milliseconds(1500);
+constexpr duration kConnectInterval = milliseconds(100);
+constexpr duration kAnnouncementInterval = milliseconds(1500);
 
 } // namespace
 
@@ -23,16 +23,16 @@
   , mRandom(aSeed)
 {
   mConfig.mVersion = 1;
-  route way;
-  way.mName = "route";
-  way.mHost = "host";
-  way.mPrefix = "/";
-  way.mService = "service";
-  way.mTimeoutMs = 60000;
-  way.mObjectiveBaseMs = 60;
-  way.mObjectiveStretch = 1.6;
-  way.mMaxAttempts = 3;
-  mConfig.mRoutes.push_back(way);
+  route onlyRoute;
+  onlyRoute.mName = "route";
+  onlyRoute.mHost = "host";
+  onlyRoute.mPrefix = "/";
+  onlyRoute.mService = "service";
+  onlyRoute.mTimeoutMs = 60000;
+  onlyRoute.mObjectiveBaseMs = 60;
+  onlyRoute.mObjectiveStretch = 1.6;
+  onlyRoute.mMaxAttempts = 3;
+  mConfig.mRoutes.push_back(onlyRoute);
   mTable = std::make_shared<const route_table>(mConfig);
   for (size_t i = 0; i < aServers; i++) {
     mServers.push_back(std::make_unique<fake_server>(*this, i));
@@ -56,31 +56,31 @@
 
 // Entries watch the store and tell each other; executors ask it at need.
 void
-sized_world::TickStore()
+sized_world::SyncEvacuations()
 {
   std::vector<entry*> awake;
-  for (auto& one : mEntries) {
-    if (one->mUp && mNow >= one->mPausedUntil) {
-      awake.push_back(one.get());
+  for (auto& process : mEntries) {
+    if (process->mUp && mNow >= process->mPausedUntil) {
+      awake.push_back(process.get());
     }
   }
-  for (entry* one : awake) {
-    if (mNow >= std::max(mStoreBackAt, one->mStoreBackAt)) {
-      one->mCore->OnEvacuations(evacuation_update{ mStore, mNow }, mNow);
+  for (entry* process : awake) {
+    if (mNow >= std::max(mStoreBackAt, process->mStoreBackAt)) {
+      process->mCore->OnEvacuations(evacuation_update{ mStore, mNow }, mNow);
     }
   }
   for (entry* from : awake) {
-    auto said = EncodeEvacuations(from->mCore->Evacuations(), mNow);
+    auto encoded = EncodeEvacuations(from->mCore->Evacuations(), mNow);
     for (entry* to : awake) {
-      to->mCore->OnEvacuations(DecodeEvacuations(said.get(), mNow), mNow);
+      to->mCore->OnEvacuations(DecodeEvacuations(encoded.get(), mNow), mNow);
     }
   }
-  for (auto& one : mExecutors) {
-    bool asks = one->mUp && mNow >= one->mPausedUntil &&
-                one->mCore->WantsEvacuations(mNow);
-    mStoreAsks += asks ? 1 : 0;
-    if (asks && mNow >= mStoreBackAt) {
-      one->mCore->OnEvacuations(evacuation_update{ mStore, mNow }, mNow);
+  for (auto& process : mExecutors) {
+    bool reads = process->mUp && mNow >= process->mPausedUntil &&
+                 process->mCore->WantsEvacuations(mNow);
+    mStoreAsks += reads ? 1 : 0;
+    if (reads && mNow >= mStoreBackAt) {
+      process->mCore->OnEvacuations(evacuation_update{ mStore, mNow }, mNow);
     }
   }
 }
@@ -121,7 +121,7 @@
 {
   instant end = mNow + aSpan;
   instant nextTick = mNow;
-  instant nextDial = mNow;
+  instant nextConnect = mNow;
   constexpr duration kStep = std::chrono::milliseconds(1);
   while (mNow < end) {
     mNow += kStep;
@@ -133,8 +133,8 @@
     for (auto& server : mServers) {
       server->Advance();
     }
-    if (mNow >= nextDial) {
-      nextDial = mNow + kDialInterval;
+    if (mNow >= nextConnect) {
+      nextConnect = mNow + kConnectInterval;
       ConnectAll();
     }
     if (mNow >= nextTick) {
@@ -143,7 +143,7 @@
     }
     if (mNow >= mNextStoreTick) {
       mNextStoreTick = mNow + kStoreTick;
-      TickStore();
+      SyncEvacuations();
     }
   }
 }
@@ -151,20 +151,20 @@
 void
 sized_world::TickAll()
 {
-  for (auto& one : mEntries) {
-    if (!one->mUp || mNow < one->mPausedUntil) {
+  for (auto& process : mEntries) {
+    if (!process->mUp || mNow < process->mPausedUntil) {
       continue;
     }
-    one->mCore->Tick(mNow);
-    if (mNow < one->mNextPulse) {
+    process->mCore->Tick(mNow);
+    if (mNow < process->mNextHeartbeat) {
       continue;
     }
-    one->mNextPulse = mNow + kHeartbeatInterval;
+    process->mNextHeartbeat = mNow + kHeartbeatInterval;
     std::vector<peer_id> own;
-    for (const auto& [id, way] : mLinks) {
-      if (way.mUp && way.mEntry == one->mIndex &&
-          way.mEntryLife == one->mLife &&
-          one->mCore->BusyExecutors().count(id) > 0) {
+    for (const auto& [id, connection] : mLinks) {
+      if (connection.mUp && connection.mEntry == process->mIndex &&
+          connection.mEntryIncarnation == process->mIncarnation &&
+          process->mCore->BusyExecutors().count(id) > 0) {
         own.push_back(id);
       }
     }
@@ -174,16 +174,17 @@
       });
     }
   }
-  for (auto& one : mExecutors) {
-    if (!one->mUp || mNow < one->mPausedUntil) {
+  for (auto& process : mExecutors) {
+    if (!process->mUp || mNow < process->mPausedUntil) {
       continue;
     }
-    bool serverUp = !mServers[one->mIndex]->mDown;
-    if (serverUp && mNow >= one->mNextHeartbeat) {
-      one->mNextHeartbeat = mNow + kHeartbeat;
-      one->mCore->OnAnnouncement(mServers[one->mIndex]->Announce(), mNow);
+    bool serverUp = !mServers[process->mIndex]->mDown;
+    if (serverUp && mNow >= process->mNextAnnouncement) {
+      process->mNextAnnouncement = mNow + kAnnouncementInterval;
+      process->mCore->OnAnnouncement(mServers[process->mIndex]->Announce(),
+                                     mNow);
     }
-    one->mCore->Tick(mNow);
+    process->mCore->Tick(mNow);
   }
 }
 
@@ -198,29 +199,39 @@
 sized_world::ConnectAll()
 {
   std::set<std::pair<size_t, size_t>> linked;
-  for (const auto& [id, way] : mLinks) {
-    bool current = way.mUp &&
-                   way.mExecutorLife == mExecutors[way.mServer]->mLife &&
-                   way.mEntryLife == mEntries[way.mEntry]->mLife;
+  for (const auto& [id, connection] : mLinks) {
+    bool current =
+      connection.mUp &&
+      connection.mExecutorIncarnation ==
+        mExecutors[connection.mServer]->mIncarnation &&
+      connection.mEntryIncarnation == mEntries[connection.mEntry]->mIncarnation;
     if (current) {
-      linked.insert({ way.mEntry, way.mServer });
+      linked.insert({ connection.mEntry, connection.mServer });
     }
   }
-  for (auto& in : mEntries) {
-    for (auto& out : mExecutors) {
-      bool able = in->mUp && out->mUp && mNow >= in->mPausedUntil &&
-                  mNow >= out->mPausedUntil && !IsCut(in->mIndex, out->mIndex);
-      if (!able || linked.count({ in->mIndex, out->mIndex }) > 0) {
+  for (auto& entryProcess : mEntries) {
+    for (auto& executorProcess : mExecutors) {
+      bool able = entryProcess->mUp && executorProcess->mUp &&
+                  mNow >= entryProcess->mPausedUntil &&
+                  mNow >= executorProcess->mPausedUntil &&
+                  !IsCut(entryProcess->mIndex, executorProcess->mIndex);
+      if (!able ||
+          linked.count({ entryProcess->mIndex, executorProcess->mIndex }) > 0) {
         continue;
       }
       peer_id id = mNextLink++;
-      mLinks[id] = { in->mIndex, out->mIndex, true, in->mLife, out->mLife };
+      mLinks[id] = { entryProcess->mIndex,
+                     executorProcess->mIndex,
+                     true,
+                     entryProcess->mIncarnation,
+                     executorProcess->mIncarnation };
       peer_identity who;
-      who.mName = "executor" + std::to_string(out->mIndex);
-      who.mDataCenter = DataCenterOf(out->mIndex);
-      in->mCore->OnExecutorUp(id, who, mNow);
-      out->mCore->OnEntryUp(id, "entry" + std::to_string(in->mIndex), mNow);
-      in->SendEvacuations(id);
+      who.mName = "executor" + std::to_string(executorProcess->mIndex);
+      who.mDataCenter = DataCenterOf(executorProcess->mIndex);
+      entryProcess->mCore->OnExecutorUp(id, who, mNow);
+      executorProcess->mCore->OnEntryUp(
+        id, "entry" + std::to_string(entryProcess->mIndex), mNow);
+      entryProcess->SendEvacuations(id);
     }
   }
 }
@@ -231,18 +242,19 @@
 sized_world::Deliver(bool aToExecutor, size_t aIndex, std::function<void()> aDo)
 {
   bool up = aToExecutor ? mExecutors[aIndex]->mUp : mEntries[aIndex]->mUp;
-  uint64_t life =
-    aToExecutor ? mExecutors[aIndex]->mLife : mEntries[aIndex]->mLife;
+  uint64_t incarnation = aToExecutor ? mExecutors[aIndex]->mIncarnation
+                                     : mEntries[aIndex]->mIncarnation;
   instant until = aToExecutor ? mExecutors[aIndex]->mPausedUntil
                               : mEntries[aIndex]->mPausedUntil;
   if (!up) {
     return;
   }
   if (mNow < until) {
-    mQueue.emplace(until, [this, aToExecutor, aIndex, life, aDo] {
-      uint64_t now =
-        aToExecutor ? mExecutors[aIndex]->mLife : mEntries[aIndex]->mLife;
-      if (now == life) {
+    mQueue.emplace(until, [this, aToExecutor, aIndex, incarnation, aDo] {
+      uint64_t currentIncarnation = aToExecutor
+                                      ? mExecutors[aIndex]->mIncarnation
+                                      : mEntries[aIndex]->mIncarnation;
+      if (currentIncarnation == incarnation) {
         Deliver(aToExecutor, aIndex, aDo);
       }
     });
@@ -263,81 +275,86 @@
                   std::function<void()> aDeliver)
 {
   (aToExecutor ? mMessagesOut : mMessagesIn)++;
-  At(kWay, [this, aLink, aToExecutor, aDeliver] {
+  At(kMessageDelay, [this, aLink, aToExecutor, aDeliver] {
     auto found = mLinks.find(aLink);
     if (found == mLinks.end() || !found->second.mUp) {
       return;
     }
-    const link& way = found->second;
-    if (IsCut(way.mEntry, way.mServer)) {
+    const link& connection = found->second;
+    if (IsCut(connection.mEntry, connection.mServer)) {
       return;
     }
-    size_t index = aToExecutor ? way.mServer : way.mEntry;
-    uint64_t life = aToExecutor ? way.mExecutorLife : way.mEntryLife;
-    Deliver(
-      aToExecutor, index, [this, aLink, aToExecutor, index, life, aDeliver] {
-        uint64_t now =
-          aToExecutor ? mExecutors[index]->mLife : mEntries[index]->mLife;
-        if (mLinks.at(aLink).mUp && now == life) {
-          aDeliver();
-        }
-      });
+    size_t index = aToExecutor ? connection.mServer : connection.mEntry;
+    uint64_t incarnation = aToExecutor ? connection.mExecutorIncarnation
+                                       : connection.mEntryIncarnation;
+    Deliver(aToExecutor,
+            index,
+            [this, aLink, aToExecutor, index, incarnation, aDeliver] {
+              uint64_t currentIncarnation = aToExecutor
+                                              ? mExecutors[index]->mIncarnation
+                                              : mEntries[index]->mIncarnation;
+              if (mLinks.at(aLink).mUp && currentIncarnation == incarnation) {
+                aDeliver();
+              }
+            });
   });
 }
 
 void
-sized_world::CloseLink(peer_id aLink, bool aTellEntry, bool aTellExecutor)
+sized_world::CloseLink(peer_id aLink, bool aNotifyEntry, bool aNotifyExecutor)
 {
   auto found = mLinks.find(aLink);
   if (found == mLinks.end() || !found->second.mUp) {
     return;
   }
   found->second.mUp = false;
-  link way = found->second;
+  link connection = found->second;
   // A reset does not pass a cut: the other side has only its own time-out.
-  if (IsCut(way.mEntry, way.mServer)) {
+  if (IsCut(connection.mEntry, connection.mServer)) {
     return;
   }
-  At(kWay, [this, aLink, way, aTellEntry, aTellExecutor] {
-    if (aTellEntry && mEntries[way.mEntry]->mLife == way.mEntryLife) {
-      Deliver(false, way.mEntry, [this, aLink, way] {
-        Coordinator(way.mEntry).OnExecutorDown(aLink, mNow);
+  At(kMessageDelay, [this, aLink, connection, aNotifyEntry, aNotifyExecutor] {
+    if (aNotifyEntry && mEntries[connection.mEntry]->mIncarnation ==
+                          connection.mEntryIncarnation) {
+      Deliver(false, connection.mEntry, [this, aLink, connection] {
+        Coordinator(connection.mEntry).OnExecutorDown(aLink, mNow);
       });
     }
-    if (aTellExecutor && mExecutors[way.mServer]->mLife == way.mExecutorLife) {
-      Deliver(true, way.mServer, [this, aLink, way] {
-        Executor(way.mServer).OnEntryDown(aLink, mNow);
+    if (aNotifyExecutor && mExecutors[connection.mServer]->mIncarnation ==
+                             connection.mExecutorIncarnation) {
+      Deliver(true, connection.mServer, [this, aLink, connection] {
+        Executor(connection.mServer).OnEntryDown(aLink, mNow);
       });
     }
   });
 }
 
 void
-sized_world::Violate(const std::string& aText)
+sized_world::AddViolation(const std::string& aText)
 {
   mViolations.push_back(std::to_string(mNow.count() / 1000) + " ms: " + aText);
 }
 
 void
-sized_world::NoteStart(const task_key& aTask, size_t aServer)
+sized_world::OnTaskStart(const task_key& aTask, size_t aServer)
 {
   mStartedJobs.insert(aTask.mJob);
   auto evacuated = mEvacuatedAt.find(DataCenterOf(aServer));
   if (evacuated != mEvacuatedAt.end() &&
       mNow > evacuated->second + mEvacuationBound) {
-    Violate("task of job " + std::to_string(aTask.mJob) +
-            " starts in a data centre that is being evacuated");
+    AddViolation("task of job " + std::to_string(aTask.mJob) +
+                 " starts in a data centre that is being evacuated");
   }
   std::set<size_t>& at = mRunningAt[aTask];
   at.insert(aServer);
   if (at.size() > 1) {
-    Violate("task " + std::to_string(aTask.mJob) + "." +
-            std::to_string(aTask.mIndex) + " runs twice at a time");
+    AddViolation("task " + std::to_string(aTask.mJob) + "." +
+                 std::to_string(aTask.mIndex) + " runs twice at a time");
   }
 }
 
 void
-sized_world::NoteEnd(const task_key& aTask, end_kind aHow)
+sized_world::OnTaskEnd(const task_key& aTask, end_kind aHow)
 {
   if (aHow == end_kind::Done) {
     mDone[aTask.mJob].insert(aTask);
--- a/cactusmast/testing/sized_world.h
+++ b/cactusmast/testing/sized_world.h
@@ -39,9 +39,9 @@
 public:
   fake_server(sized_world& aWorld, size_t aIndex);
 
-  void Start(const start_request& aOrder) override;
-  void Stop(const stop_request& aOrder) override;
-  void Poll(const poll_request& aOrder) override;
+  void Start(const start_request& aRequest) override;
+  void Stop(const stop_request& aRequest) override;
+  void Poll(const poll_request& aRequest) override;
   void ExpectInstance(const std::string&) override {}
 
   // Everything that runs is gone; a new life with an empty memory begins.
@@ -63,8 +63,8 @@
 private:
   struct run
   {
-    uint32_t mRun = 0;
-    instant mSince{};
+    uint32_t mRunNumber = 0;
+    instant mStartedAt{};
     double mDoneMs = 0;
     double mWorkMs = 0;
     instant mAdvancedAt{};
@@ -72,24 +72,24 @@
   };
 
   int64_t ClockMs() const;
-  start_result CarryOut(const start_request& aOrder);
-  void CarryOut(const stop_request& aOrder);
-  server_snapshot CarryOut(const poll_request& aOrder);
+  start_result Execute(const start_request& aRequest);
+  void Execute(const stop_request& aRequest);
+  server_snapshot Execute(const poll_request& aRequest);
   void End(const task_key& aTask, end_kind aHow);
-  bool Unanswered();
+  bool IsUnanswered();
   void After(duration aDelay, std::function<void()> aDo);
 
   sized_world& mWorld;
   size_t mIndex;
-  int64_t mBornMs = 1;
+  int64_t mStartTimeMs = 1;
   uint64_t mSequence = 0;
   int64_t mLeaseUntilMs = 0;
-  uint64_t mFence = 0;
+  uint64_t mFencingToken = 0;
   uint64_t mEnds = 0;
   std::map<task_key, run> mRunning;
-  std::map<task_key, uint32_t> mLastRun;
+  std::map<task_key, uint32_t> mLastRunNumbers;
   std::deque<ended_task> mEnded;
-  std::vector<std::pair<uint64_t, std::function<void()>>> mWaitingLooks;
+  std::vector<std::pair<uint64_t, std::function<void()>>> mWaitingPolls;
 };
 
 // What a caller got for one submission.
@@ -132,7 +132,7 @@
                   uint32_t aDeclaredMs = 0);
   // From now on callers that send a job again wait only for what is left of
   // their time, and leave when it is over.
-  void CountDownWaits() { mCountDownWaits = true; }
+  void CountDownWaits() { mCountDownTimeouts = true; }
   void SubmitAgain(uint64_t aJob, size_t aEntry);
   void HangUp(uint64_t aJob);
 
@@ -186,25 +186,25 @@
     size_t mEntry = 0;
     size_t mServer = 0;
     bool mUp = true;
-    uint64_t mEntryLife = 0;
-    uint64_t mExecutorLife = 0;
+    uint64_t mEntryIncarnation = 0;
+    uint64_t mExecutorIncarnation = 0;
   };
 
   double Uniform() { return std::uniform_real_distribution<>(0, 1)(mRandom); }
-  void Violate(const std::string& aText);
-  void NoteStart(const task_key& aTask, size_t aServer);
-  void NoteEnd(const task_key& aTask, end_kind aHow);
+  void AddViolation(const std::string& aText);
+  void OnTaskStart(const task_key& aTask, size_t aServer);
+  void OnTaskEnd(const task_key& aTask, end_kind aHow);
   void ConnectAll();
   void TickAll();
   void Send(peer_id aLink, bool aToExecutor, std::function<void()> aDeliver);
   void Deliver(bool aToExecutor, size_t aIndex, std::function<void()> aDo);
-  void CloseLink(peer_id aLink, bool aTellEntry, bool aTellExecutor);
+  void CloseLink(peer_id aLink, bool aNotifyEntry, bool aNotifyExecutor);
   // Both sides notice by themselves.
-  void GiveUpLink(peer_id aLink);
-  void Hand(const job_request& aRequest, size_t aEntry);
+  void TimeOutLink(peer_id aLink);
+  void SubmitTo(const job_request& aRequest, size_t aEntry);
   void OnAnswer(caller_id aCaller, const job_outcome& aOutcome);
   bool IsCut(size_t aEntry, size_t aServer) const;
-  void TickStore();
+  void SyncEvacuations();
 
   mechanism_set mMechanisms;
   size_t mDataCenters;
@@ -228,15 +228,15 @@
   size_t mDroppedLinks = 0;
   size_t mMessagesOut = 0;
   size_t mMessagesIn = 0;
-  uint64_t mNextLife = 1;
+  uint64_t mNextIncarnation = 1;
   route_config mConfig;
   std::shared_ptr<const route_table> mTable;
   std::vector<caller_record> mCallers; // a caller's number is its index
   std::map<uint64_t, job_submission> mJobs;
   std::map<uint64_t, uint32_t> mDeadlines;
   std::map<uint64_t, instant> mFirstSentAt;
-  bool mCountDownWaits = false;
-  uint32_t RemainingWaitMs(uint64_t aJob) const;
+  bool mCountDownTimeouts = false;
+  uint32_t RemainingTimeoutMs(uint64_t aJob) const;
   std::map<task_key, std::set<size_t>> mRunningAt;
   std::set<uint64_t> mStartedJobs;
   std::map<uint64_t, std::set<task_key>> mDone;
--- a/cactusmast/testing/sized_world_callers.cc
+++ b/cactusmast/testing/sized_world_callers.cc
@@ -29,11 +29,11 @@
 }
 
 uint32_t
-sized_world::RemainingWaitMs(uint64_t aJob) const
+sized_world::RemainingTimeoutMs(uint64_t aJob) const
 {
   uint32_t whole = mDeadlines.at(aJob);
   auto passed = uint32_t(ToMs(mNow - mFirstSentAt.at(aJob)));
-  if (!mCountDownWaits) {
+  if (!mCountDownTimeouts) {
     return whole;
   }
   return passed < whole ? whole - passed : 0;
@@ -42,7 +42,7 @@
 void
 sized_world::SubmitAgain(uint64_t aJob, size_t aEntry)
 {
-  if (RemainingWaitMs(aJob) == 0) {
+  if (RemainingTimeoutMs(aJob) == 0) {
     return;
   }
   caller_record record;
@@ -60,12 +60,12 @@
   request.mSubmission = mJobs[aJob];
   request.mTable = mTable;
   request.mRoute = &mTable->Config().mRoutes[0];
-  request.mCallerTimeoutMs = RemainingWaitMs(aJob);
-  Hand(request, aEntry);
+  request.mCallerTimeoutMs = RemainingTimeoutMs(aJob);
+  SubmitTo(request, aEntry);
 }
 
 void
-sized_world::Hand(const job_request& aRequest, size_t aEntry)
+sized_world::SubmitTo(const job_request& aRequest, size_t aEntry)
 {
   Deliver(false, aEntry, [this, aRequest, aEntry] {
     if (mCallers[aRequest.mCaller].mLost) {
@@ -84,10 +84,10 @@
 sized_world::HangUp(uint64_t aJob)
 {
   for (size_t i = 0; i < mCallers.size(); i++) {
-    caller_record& one = mCallers[i];
-    if (one.mJob == aJob && !one.mAnswered && !one.mLost) {
-      one.mLost = true;
-      Deliver(false, one.mEntry, [this, i, entry = one.mEntry] {
+    caller_record& caller = mCallers[i];
+    if (caller.mJob == aJob && !caller.mAnswered && !caller.mLost) {
+      caller.mLost = true;
+      Deliver(false, caller.mEntry, [this, i, entry = caller.mEntry] {
         Coordinator(entry).OnCallerDisconnected(i);
       });
     }
@@ -97,28 +97,29 @@
 void
 sized_world::OnAnswer(caller_id aCaller, const job_outcome& aOutcome)
 {
-  caller_record& one = mCallers[aCaller];
-  if (one.mAnswered) {
-    Violate("caller " + std::to_string(aCaller) + " was answered twice");
+  caller_record& caller = mCallers[aCaller];
+  if (caller.mAnswered) {
+    AddViolation("caller " + std::to_string(aCaller) + " was answered twice");
   }
-  one.mAnswered = true;
-  one.mEnding = aOutcome.mEnding;
-  one.mAnsweredAt = mNow;
-  const job_submission& job = mJobs[one.mJob];
+  caller.mAnswered = true;
+  caller.mEnding = aOutcome.mEnding;
+  caller.mAnsweredAt = mNow;
+  const job_submission& job = mJobs[caller.mJob];
   if (aOutcome.mEnding == job_ending::Completed &&
-      mDone[one.mJob].size() < job.mSteps[0].mCount) {
-    Violate("job " + std::to_string(one.mJob) +
-            " is called complete with tasks left");
+      mDone[caller.mJob].size() < job.mSteps[0].mCount) {
+    AddViolation("job " + std::to_string(caller.mJob) +
+                 " is called complete with tasks left");
   }
-  bool first = mStartedJobs.count(one.mJob) == 0;
-  if (aOutcome.mEnding == job_ending::Refused && !first) {
+  bool neverStarted = mStartedJobs.count(caller.mJob) == 0;
+  if (aOutcome.mEnding == job_ending::Refused && !neverStarted) {
     // Started by an earlier submission is allowed; that one was not refused.
     bool earlier = std::any_of(
       mCallers.begin(), mCallers.end(), [&](const caller_record& aOther) {
-        return aOther.mJob == one.mJob && aOther.mLost;
+        return aOther.mJob == caller.mJob && aOther.mLost;
       });
     if (!earlier) {
-      Violate("job " + std::to_string(one.mJob) + " ran and was refused");
+      AddViolation("job " + std::to_string(caller.mJob) +
+                   " ran and was refused");
     }
   }
 }
--- a/cactusmast/testing/sized_world_faults.cc
+++ b/cactusmast/testing/sized_world_faults.cc
@@ -5,9 +5,9 @@
 namespace cactusmast::testing {
 namespace {
 
-constexpr duration kResend = milliseconds(1300);
+constexpr duration kResubmitDelay = milliseconds(1300);
 // A connection over which nothing passes is given up by both sides.
-constexpr duration kKeepAlive = milliseconds(3000);
+constexpr duration kLinkTimeout = milliseconds(3000);
 
 } // namespace
 
@@ -43,32 +43,34 @@
 sized_world::Cut(size_t aEntry, size_t aServer, duration aSpan)
 {
   mCuts[{ aEntry, aServer }] = mNow + aSpan;
-  if (aSpan < kKeepAlive) {
+  if (aSpan < kLinkTimeout) {
     return;
   }
-  for (const auto& [id, way] : mLinks) {
-    if (way.mEntry == aEntry && way.mServer == aServer) {
-      At(kKeepAlive, [this, id = id] { GiveUpLink(id); });
+  for (const auto& [id, connection] : mLinks) {
+    if (connection.mEntry == aEntry && connection.mServer == aServer) {
+      At(kLinkTimeout, [this, id = id] { TimeOutLink(id); });
     }
   }
 }
 
 void
-sized_world::GiveUpLink(peer_id aLink)
+sized_world::TimeOutLink(peer_id aLink)
 {
-  link way = mLinks.at(aLink);
-  if (!way.mUp) {
+  link connection = mLinks.at(aLink);
+  if (!connection.mUp) {
     return;
   }
   mLinks.at(aLink).mUp = false;
-  if (mEntries[way.mEntry]->mLife == way.mEntryLife) {
-    Deliver(false, way.mEntry, [this, aLink, way] {
-      Coordinator(way.mEntry).OnExecutorDown(aLink, mNow);
+  if (mEntries[connection.mEntry]->mIncarnation ==
+      connection.mEntryIncarnation) {
+    Deliver(false, connection.mEntry, [this, aLink, connection] {
+      Coordinator(connection.mEntry).OnExecutorDown(aLink, mNow);
     });
   }
-  if (mExecutors[way.mServer]->mLife == way.mExecutorLife) {
-    Deliver(true, way.mServer, [this, aLink, way] {
-      Executor(way.mServer).OnEntryDown(aLink, mNow);
+  if (mExecutors[connection.mServer]->mIncarnation ==
+      connection.mExecutorIncarnation) {
+    Deliver(true, connection.mServer, [this, aLink, connection] {
+      Executor(connection.mServer).OnEntryDown(aLink, mNow);
     });
   }
 }
@@ -78,19 +80,20 @@
 {
   entry& killed = *mEntries[aEntry];
   killed.mUp = false;
-  for (auto& [id, way] : mLinks) {
-    if (way.mUp && way.mEntry == aEntry && way.mEntryLife == killed.mLife) {
+  for (auto& [id, connection] : mLinks) {
+    if (connection.mUp && connection.mEntry == aEntry &&
+        connection.mEntryIncarnation == killed.mIncarnation) {
       CloseLink(id, false, true);
     }
   }
   for (size_t i = 0; i < mCallers.size(); i++) {
-    caller_record& one = mCallers[i];
-    if (one.mEntry != aEntry || one.mAnswered || one.mLost) {
+    caller_record& caller = mCallers[i];
+    if (caller.mEntry != aEntry || caller.mAnswered || caller.mLost) {
       continue;
     }
-    one.mLost = true;
-    uint64_t job = one.mJob;
-    At(kResend, [this, job, aEntry] {
+    caller.mLost = true;
+    uint64_t job = caller.mJob;
+    At(kResubmitDelay, [this, job, aEntry] {
       SubmitAgain(job, (aEntry + 1) % mEntries.size());
     });
   }
@@ -104,9 +107,9 @@
 {
   executor& killed = *mExecutors[aServer];
   killed.mUp = false;
-  for (auto& [id, way] : mLinks) {
-    if (way.mUp && way.mServer == aServer &&
-        way.mExecutorLife == killed.mLife) {
+  for (auto& [id, connection] : mLinks) {
+    if (connection.mUp && connection.mServer == aServer &&
+        connection.mExecutorIncarnation == killed.mIncarnation) {
       CloseLink(id, true, false);
     }
   }
@@ -137,7 +140,7 @@
 sized_world::DrainServer(size_t aServer)
 {
   mServers[aServer]->mDraining = true;
-  mExecutors[aServer]->mNextHeartbeat = mNow;
+  mExecutors[aServer]->mNextAnnouncement = mNow;
 }
 
 } // namespace cactusmast::testing
--- a/cactusmast/testing/sized_world_parts.h
+++ b/cactusmast/testing/sized_world_parts.h
@@ -16,7 +16,7 @@
   entry(sized_world& aWorld, size_t aIndex)
     : mWorld(aWorld)
     , mIndex(aIndex)
-    , mLife(aWorld.mNextLife++)
+    , mIncarnation(aWorld.mNextIncarnation++)
     , mCore(std::make_unique<job_coordinator>("entry" + std::to_string(aIndex),
                                               aWorld.DataCenterOf(aIndex),
                                               *this,
@@ -27,36 +27,39 @@
   {
   }
 
-  void Start(peer_id aExecutor, wire::start_tasks_msg aOrder) override
+  void Start(peer_id aExecutor, wire::start_tasks_msg aDispatch) override
   {
-    mWorld.Send(aExecutor, true, [world = &mWorld, aExecutor, aOrder] {
-      const link& way = world->mLinks.at(aExecutor);
-      world->Executor(way.mServer).OnStartTasks(aExecutor, aOrder, world->mNow);
+    mWorld.Send(aExecutor, true, [world = &mWorld, aExecutor, aDispatch] {
+      const link& connection = world->mLinks.at(aExecutor);
+      world->Executor(connection.mServer)
+        .OnStartTasks(aExecutor, aDispatch, world->mNow);
     });
   }
-  void Stop(peer_id aExecutor, wire::stop_tasks_msg aOrder) override
+  void Stop(peer_id aExecutor, wire::stop_tasks_msg aRequest) override
   {
-    mWorld.Send(aExecutor, true, [world = &mWorld, aExecutor, aOrder] {
-      const link& way = world->mLinks.at(aExecutor);
-      world->Executor(way.mServer).OnStopTasks(aExecutor, aOrder, world->mNow);
+    mWorld.Send(aExecutor, true, [world = &mWorld, aExecutor, aRequest] {
+      const link& connection = world->mLinks.at(aExecutor);
+      world->Executor(connection.mServer)
+        .OnStopTasks(aExecutor, aRequest, world->mNow);
     });
   }
   void Subscribe(peer_id aExecutor, bool aWanted) override
   {
     mWorld.Send(aExecutor, true, [world = &mWorld, aExecutor, aWanted] {
-      const link& way = world->mLinks.at(aExecutor);
-      world->Executor(way.mServer)
+      const link& connection = world->mLinks.at(aExecutor);
+      world->Executor(connection.mServer)
         .OnSubscription(aExecutor, aWanted, world->mNow);
     });
   }
   void SendEvacuations(peer_id aExecutor) override
   {
-    std::shared_ptr<wire::evacuations_msg> said =
+    std::shared_ptr<wire::evacuations_msg> evacuations =
       EncodeEvacuations(mCore->Evacuations(), mWorld.mNow);
-    mWorld.Send(aExecutor, true, [world = &mWorld, aExecutor, said] {
-      const link& way = world->mLinks.at(aExecutor);
-      world->Executor(way.mServer)
-        .OnEvacuations(DecodeEvacuations(said.get(), world->mNow), world->mNow);
+    mWorld.Send(aExecutor, true, [world = &mWorld, aExecutor, evacuations] {
+      const link& connection = world->mLinks.at(aExecutor);
+      world->Executor(connection.mServer)
+        .OnEvacuations(DecodeEvacuations(evacuations.get(), world->mNow),
+                       world->mNow);
     });
   }
   void Close(peer_id aExecutor) override
@@ -72,10 +75,10 @@
 
   sized_world& mWorld;
   size_t mIndex;
-  uint64_t mLife;
+  uint64_t mIncarnation;
   bool mUp = true;
   instant mPausedUntil{};
-  instant mNextPulse{};
+  instant mNextHeartbeat{};
   instant mStoreBackAt{}; // for this entry
   std::unique_ptr<job_coordinator> mCore;
 };
@@ -85,8 +88,8 @@
   executor(sized_world& aWorld, size_t aIndex)
     : mWorld(aWorld)
     , mIndex(aIndex)
-    , mLife(aWorld.mNextLife++)
-    , mCore(std::make_unique<task_executor>(mLife,
+    , mIncarnation(aWorld.mNextIncarnation++)
+    , mCore(std::make_unique<task_executor>(mIncarnation,
                                             "service",
                                             aWorld.DataCenterOf(aIndex),
                                             *this,
@@ -96,11 +99,12 @@
   {
   }
 
-  void Report(peer_id aEntry, const wire::server_report_msg& aSaid) override
+  void Report(peer_id aEntry, const wire::server_report_msg& aReport) override
   {
-    mWorld.Send(aEntry, false, [world = &mWorld, aEntry, aSaid] {
-      const link& way = world->mLinks.at(aEntry);
-      world->Coordinator(way.mEntry).OnReport(aEntry, aSaid, world->mNow);
+    mWorld.Send(aEntry, false, [world = &mWorld, aEntry, aReport] {
+      const link& connection = world->mLinks.at(aEntry);
+      world->Coordinator(connection.mEntry)
+        .OnReport(aEntry, aReport, world->mNow);
     });
   }
   void Close(peer_id aEntry) override
@@ -111,10 +115,10 @@
 
   sized_world& mWorld;
   size_t mIndex;
-  uint64_t mLife;
+  uint64_t mIncarnation;
   bool mUp = true;
   instant mPausedUntil{};
-  instant mNextHeartbeat{};
+  instant mNextAnnouncement{};
   std::unique_ptr<task_executor> mCore;
 };
 
