--- a/cactusmast/testing/fake_server.cc
+++ b/cactusmast/testing/fake_server.cc
@@ -179,7 +179,7 @@
     reply(poll_result::Ok, firstSnapshot);
     return;
   }
-  // Answered at the next end or after the wait, whichever comes first.
+  // The reply is sent at the next end or after the wait, whichever comes first.
   uint64_t number = aRequest.mNumber;
   auto finish = [this, aRequest, reply] {
     if (!mDown) {
--- a/cactusmast/testing/sized_load.cc
+++ b/cactusmast/testing/sized_load.cc
@@ -3,10 +3,11 @@
 namespace cactusmast::testing {
 namespace {
 
-// Of a backend server, for the tasks of the world.
+// Number of tasks of the world that fit in a backend server.
 constexpr double kTasksPerServer = 10;
+// For the jobs that are open when the last one is submitted.
 constexpr duration kCompletionTime = std::chrono::seconds(5);
-// Far beyond all objectives.
+// Much longer than all objectives.
 constexpr uint32_t kCallerTimeoutMs = 8000;
 // As in the world's route.
 constexpr double kObjectiveBaseMs = 60;
--- a/cactusmast/testing/sized_load.h
+++ b/cactusmast/testing/sized_load.h
@@ -1,6 +1,7 @@
-// Mixed jobs at random moments, for tests and measurements of load on a
-// sized_world: many short tasks, a few long ones, two of middle length. One
-// entry in ten gets five times the callers of the others.
+// Load on a sized_world for tests and measurements: jobs of different kinds at
+// random times, some of many short tasks, few of long tasks, most of two tasks
+// of medium length. One entry in ten gets five times as many callers as the
+// others.
 
 #ifndef CACTUSMAST_TESTING_SIZED_LOAD_H_
 #define CACTUSMAST_TESTING_SIZED_LOAD_H_
@@ -14,16 +15,18 @@
 struct load_result
 {
   size_t mJobs = 0;
-  size_t mTimely = 0; // within the objective of the world's route
-  size_t mLate = 0;
+  size_t mTimely = 0; // completed within the objective of the world's route
+  size_t mLate = 0;   // completed later
   size_t mRefused = 0;
-  double mTimelyWorkS = 0;     // of all tasks of timely jobs
-  std::vector<double> mRatios; // response over run time, of completed jobs
+  double mTimelyWorkS = 0; // work time of all tasks of timely jobs
+  // Of completed jobs: response time over the run time of a task.
+  std::vector<double> mRatios;
 };
 
-// Plays aSpan of jobs whose work is aLoad times what the backend servers can do
-// at their speeds, and some seconds for what is open then. aDeclaredSigma: of
-// the logarithm of the factor by which declared run times are off.
+// Submits jobs for aSpan whose work is aLoad times the capacity of the backend
+// servers at their speeds, and runs the world for some more seconds so that
+// open jobs can end. aDeclaredSigma: standard deviation of the logarithm of
+// declared over actual run times.
 load_result
 PlayLoad(sized_world* aWorld,
          double aLoad,
--- a/cactusmast/testing/sized_world.cc
+++ b/cactusmast/testing/sized_world.cc
@@ -54,7 +54,8 @@
   return std::string(1, char('a' + aIndex % mDataCenters));
 }
 
-// Entries watch the store and tell each other; executors ask it at need.
+// Entries watch the store and send each other what they know; executors read it
+// when they need to.
 void
 sized_world::SyncEvacuations()
 {
@@ -236,8 +237,8 @@
   }
 }
 
-// Runs aDo at the process when it is awake; drops it when the process is not
-// the one that it was meant for any more.
+// Runs aDo at the process, after its pause if it is paused. Discards aDo if the
+// process is down or was restarted during the pause.
 void
 sized_world::Deliver(bool aToExecutor, size_t aIndex, std::function<void()> aDo)
 {
@@ -261,7 +262,7 @@
     return;
   }
   aDo();
-  // Daemons take a turn soon after each input.
+  // Daemons run a turn of their loop soon after each input.
   if (aToExecutor) {
     mExecutors[aIndex]->mCore->Tick(mNow);
   } else {
@@ -309,7 +310,7 @@
   }
   found->second.mUp = false;
   link connection = found->second;
-  // A reset does not pass a cut: the other side has only its own time-out.
+  // A reset does not pass a cut: the other side only has its own timeout.
   if (IsCut(connection.mEntry, connection.mServer)) {
     return;
   }
--- a/cactusmast/testing/sized_world.h
+++ b/cactusmast/testing/sized_world.h
@@ -1,10 +1,11 @@
 // Coordinators, executors and backend servers on a virtual clock, with a
 // network and callers in between, for tests of jobs of sized tasks.
 //
-// The world checks while it runs what callers and backend servers see: no task
-// runs twice at a time, no backend server is over its capacity, nothing starts
-// at a draining one, answers come once and say the truth. Violations are
-// collected, not thrown, so that a test can show them all.
+// While it runs, the world checks what callers and backend servers observe: no
+// task runs twice at a time, no backend server is over its capacity, nothing
+// starts in an evacuated data centre, each caller gets one answer, and the
+// answer is correct. Violations are collected, not thrown, so that a test can
+// show them all.
 
 #ifndef CACTUSMAST_TESTING_SIZED_WORLD_H_
 #define CACTUSMAST_TESTING_SIZED_WORLD_H_
@@ -32,8 +33,9 @@
   void Emit(event_code, std::vector<event_field>) override {}
 };
 
-// A backend server: runs tasks for their work time over its speed, under one
-// lease, and remembers what was stopped or ended.
+// A backend server. It runs each task for its work time divided by mSpeed,
+// under one lease, and remembers the last run number of tasks that were stopped
+// or have ended.
 class fake_server : public backend_runner
 {
 public:
@@ -44,21 +46,26 @@
   void Poll(const poll_request& aRequest) override;
   void ExpectInstance(const std::string&) override {}
 
-  // Everything that runs is gone; a new life with an empty memory begins.
+  // Ends all tasks without a trace and begins a new incarnation that remembers
+  // nothing.
   void Crash();
+  // Lets the running tasks make progress up to the present time of the world.
   void Advance();
+  // The next announcement.
   server_announcement Announce();
   bool IsRunning(const task_key& aTask) const;
   size_t Running() const { return mRunning.size(); }
 
   resources mCapacity{ 32000, 131072, 0 };
-  double mSpeed = 1;
-  bool mDown = false;
+  double mSpeed = 1;  // work time done per time
+  bool mDown = false; // it neither replies nor makes progress
   bool mDraining = false;
   bool mFailsAll = false;
-  bool mHangs = false;         // nothing that runs makes progress
-  double mUnansweredShare = 0; // of orders; carried out 2 to 4 s later
-  uint32_t mStarts = 0;
+  bool mHangs = false; // its tasks make no progress
+  // Share of requests without a reply; start requests among them are carried
+  // out 2 to 4 s later.
+  double mUnansweredShare = 0;
+  uint32_t mStarts = 0; // of tasks, in all incarnations
 
 private:
   struct run
@@ -92,14 +99,14 @@
   std::vector<std::pair<uint64_t, std::function<void()>>> mWaitingPolls;
 };
 
-// What a caller got for one submission.
+// One submission of a job, and the answer that its caller got.
 struct caller_record
 {
   uint64_t mJob = 0;
   size_t mEntry = 0;
   instant mSentAt{};
   bool mAnswered = false;
-  bool mLost = false; // the connection broke
+  bool mLost = false; // the connection was lost or closed
   job_ending mEnding = job_ending::Failed;
   instant mAnsweredAt{};
 };
@@ -114,46 +121,52 @@
               size_t aDataCenters = 1);
   ~sized_world();
 
-  // "a" and on; entries and backend servers are dealt out to them in turn.
+  // The data centres are named "a", "b" and so on. Entries and backend servers
+  // are assigned to them in turn.
   std::string DataCenterOf(size_t aIndex) const;
 
   void Run(duration aSpan);
   instant Now() const { return mNow; }
   void At(duration aFromNow, std::function<void()> aDo);
 
-  // Of the one route; 60 s at first.
+  // Sets the timeout of the only route, which is 60 s before.
   void SetRouteTimeout(uint32_t aTimeoutMs);
-  // Submits a job of aTasks tasks that take aWorkMs each; sends it again
-  // elsewhere 1300 ms after its connection broke. aDeclaredMs: 0 for aWorkMs.
+  // Submits a job of aTasks tasks that take aWorkMs each, and resubmits it to
+  // another entry 1300 ms after its entry was killed. aDeclaredMs: declared run
+  // time; 0: aWorkMs. Returns the job.
   uint64_t Submit(size_t aEntry,
                   uint32_t aTasks,
                   uint32_t aWorkMs,
                   uint32_t aDeadlineMs = 1500,
                   uint32_t aDeclaredMs = 0);
-  // From now on callers that send a job again wait only for what is left of
-  // their time, and leave when it is over.
+  // From now on callers that resubmit a job wait only for what is left of their
+  // timeout, and do not resubmit it when that has passed.
   void CountDownWaits() { mCountDownTimeouts = true; }
   void SubmitAgain(uint64_t aJob, size_t aEntry);
+  // Closes the connections of the callers that wait for the job.
   void HangUp(uint64_t aJob);
 
+  // Kills the process and starts a new one aDown later.
   void KillEntry(size_t aEntry, duration aDown);
   void KillExecutor(size_t aServer, duration aDown);
+  // Stops the process for aSpan; its input waits.
   void PauseEntry(size_t aEntry, duration aSpan);
   void PauseExecutor(size_t aServer, duration aSpan);
-  // Bytes between the two are lost and new connections fail.
+  // For aSpan messages between the two are lost and new connections fail.
   void Cut(size_t aEntry, size_t aServer, duration aSpan);
-  // An operator's row in the store, and its removal. From a second after it, no
-  // task may start in the data centre.
+  // Evacuate adds an operator's row to the store, TakeBack removes it. From one
+  // second after the row is added, no task may start in the data centre.
   void Evacuate(const std::string& aDataCenter);
   void TakeBack(const std::string& aDataCenter);
-  // The store does not answer this entry; aSpan: from now.
+  // For aSpan the store does not reply to this entry.
   void CutFromStore(size_t aEntry, duration aSpan);
-  // Or anybody.
+  // For aSpan the store does not reply to any process.
   void StopStore(duration aSpan);
-  // Entries that have not heard from the store since they started refuse what
-  // comes, as those do that have no configuration.
+  // From now on entries that have had no reply from the store since they
+  // started refuse all jobs, as entries without a configuration do.
   void RefuseUntilStoreIsHeard() { mRefusesUnconfigured = true; }
-  // For tests in which the store is away: how soon an evacuation must count.
+  // For tests with an unavailable store: time from an evacuation until no task
+  // may start in the data centre.
   void SetEvacuationBound(duration aBound) { mEvacuationBound = aBound; }
   void DrainExecutor(size_t aServer);
   void DrainServer(size_t aServer);
@@ -164,15 +177,17 @@
   job_coordinator& Coordinator(size_t aIndex);
   task_executor& Executor(size_t aIndex);
   bool ExecutorUp(size_t aIndex) const;
+  // The last submission of the job.
   const caller_record& LastOf(uint64_t aJob) const;
   size_t CountEnding(job_ending aEnding) const;
+  // Submissions that were completed within aWithin.
   size_t CountInTime(duration aWithin) const;
   // Messages that entries sent to executors, and executors to entries.
   size_t MessagesOut() const { return mMessagesOut; }
   size_t MessagesIn() const { return mMessagesIn; }
-  // Of executors, for evacuations.
+  // Reads of the evacuations by executors.
   size_t StoreAsks() const { return mStoreAsks; }
-  // Connections that one side closed because it believed the other gone.
+  // Connections that one side closed because the other had timed out.
   size_t DroppedLinks() const { return mDroppedLinks; }
   const std::vector<caller_record>& Callers() const { return mCallers; }
   const std::vector<std::string>& Violations() const { return mViolations; }
@@ -199,7 +214,7 @@
   void Send(peer_id aLink, bool aToExecutor, std::function<void()> aDeliver);
   void Deliver(bool aToExecutor, size_t aIndex, std::function<void()> aDo);
   void CloseLink(peer_id aLink, bool aNotifyEntry, bool aNotifyExecutor);
-  // Both sides notice by themselves.
+  // Closes the connection at both sides, each by its own timeout.
   void TimeOutLink(peer_id aLink);
   void SubmitTo(const job_request& aRequest, size_t aEntry);
   void OnAnswer(caller_id aCaller, const job_outcome& aOutcome);
@@ -231,7 +246,7 @@
   uint64_t mNextIncarnation = 1;
   route_config mConfig;
   std::shared_ptr<const route_table> mTable;
-  std::vector<caller_record> mCallers; // a caller's number is its index
+  std::vector<caller_record> mCallers; // by caller_id
   std::map<uint64_t, job_submission> mJobs;
   std::map<uint64_t, uint32_t> mDeadlines;
   std::map<uint64_t, instant> mFirstSentAt;
--- a/cactusmast/testing/sized_world_callers.cc
+++ b/cactusmast/testing/sized_world_callers.cc
@@ -112,7 +112,7 @@
   }
   bool neverStarted = mStartedJobs.count(caller.mJob) == 0;
   if (aOutcome.mEnding == job_ending::Refused && !neverStarted) {
-    // Started by an earlier submission is allowed; that one was not refused.
+    // Allowed if an earlier submission, which was not refused, has started it.
     bool earlier = std::any_of(
       mCallers.begin(), mCallers.end(), [&](const caller_record& aOther) {
         return aOther.mJob == caller.mJob && aOther.mLost;
--- a/cactusmast/testing/sized_world_faults.cc
+++ b/cactusmast/testing/sized_world_faults.cc
@@ -1,4 +1,4 @@
-// What goes wrong in a sized_world, and what its operators do.
+// Faults in a sized_world, and actions of its operators.
 
 #include "cactusmast/testing/sized_world_parts.h"
 
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr duration kResubmitDelay = milliseconds(1300);
-// A connection over which nothing passes is given up by both sides.
+// Both sides close a connection over which nothing has come for this long.
 constexpr duration kLinkTimeout = milliseconds(3000);
 
 } // namespace
--- a/cactusmast/testing/sized_world_parts.h
+++ b/cactusmast/testing/sized_world_parts.h
@@ -1,5 +1,5 @@
-// The processes of a sized_world: an entry's and an executor's core, with the
-// links between them.
+// The processes of a sized_world: the cores of entries and executors, with the
+// connections between them.
 
 #ifndef CACTUSMAST_TESTING_SIZED_WORLD_PARTS_H_
 #define CACTUSMAST_TESTING_SIZED_WORLD_PARTS_H_
@@ -79,7 +79,7 @@
   bool mUp = true;
   instant mPausedUntil{};
   instant mNextHeartbeat{};
-  instant mStoreBackAt{}; // for this entry
+  instant mStoreBackAt{}; // when the store replies to this entry again
   std::unique_ptr<job_coordinator> mCore;
 };
 
