--- a/cactusmast/route_config.h
+++ b/cactusmast/route_config.h
@@ -89,7 +89,6 @@
   const std::shared_ptr<const route_table>& Table() const { return mTable; }
   // 0 before the first document.
   uint64_t Version() const { return mVersion; }
-
   const std::string& Text() const { return mText; }
 
 private:
--- a/cactusmast/task_executor.h
+++ b/cactusmast/task_executor.h
@@ -66,7 +66,6 @@
 
 // The connections of an executor to entries, as its core needs them.
 class executor_links
-
 {
 public:
   virtual ~executor_links() = default;
--- a/cactusmast/testing/sized_world.h
+++ b/cactusmast/testing/sized_world.h
@@ -162,8 +162,8 @@
   void CutFromStore(size_t aEntry, duration aSpan);
   // For aSpan the store does not reply to any process.
   void StopStore(duration aSpan);
-  // From now on entries that have had no reply from the store since they
-  // started refuse all jobs, as entries without a configuration do.
+  // From now on entries that have no data from the store since they started
+  // refuse all jobs, as entries without a configuration do.
   void RefuseUntilStoreIsHeard() { mRefusesUnconfigured = true; }
   // For tests with an unavailable store: time from an evacuation until no task
   // may start in the data centre.
