--- a/cactusmast/testing/sized_world.h
+++ b/cactusmast/testing/sized_world.h
@@ -72,10 +72,10 @@
   {
     uint32_t mRunNumber = 0;
     instant mStartedAt{};
-    double mDoneMs = 0;
-    double mWorkMs = 0;
+    double mDoneMs = 0; // of mWorkMs, as of mAdvancedAt
+    double mWorkMs = 0; // run time at speed 1
     instant mAdvancedAt{};
-    int64_t mCpu = 0;
+    int64_t mCpu = 0; // thousandths of a core
   };
 
   int64_t ClockMs() const;
@@ -229,7 +229,7 @@
   instant mStoreBackAt{};
   instant mNextStoreTick{};
   size_t mStoreAsks = 0;
-  bool mRefusesUnconfigured = false;
+  bool mRefusesUnconfigured = false; // see RefuseUntilStoreIsHeard
   instant mNow{ std::chrono::seconds(100) };
   std::mt19937 mRandom;
   silent_events mEvents;
