--- a/cactusmast/task_executor_polls.cc
+++ b/cactusmast/task_executor_polls.cc
@@ -1,3 +1,5 @@
+// Polls of the backend server, and what follows from their replies.
+
 #include "cactusmast/task_executor.h"
 
 #include <algorithm>
@@ -17,22 +19,22 @@
   return outstanding ? aNow >= mPollTimeoutAt : aNow >= mNextPoll;
 }
 
-// A look returns with the next end, so that waits are cut short only to notice
-// an answer that was lost. It is missed most right after an end.
+// The reply to a poll comes with the next end in any case. The wait is shorter
+// only to detect a lost reply, which matters most right after an end.
 milliseconds
 task_executor::PollWait(instant aNow) const
 {
-  bool lost = !mPendingPolls.empty();
-  if (lost) {
+  bool unansweredPoll = !mPendingPolls.empty();
+  if (unansweredPoll) {
     return kMinPollWait;
   }
   if (Running() == 0) {
     return kIdlePollWait;
   }
   instant next = aNow + kLongPollWait;
-  for (const auto& [key, one] : mTasks) {
-    if (one.mState != task_state::Queued) {
-      next = std::min(next, ExpectedEnd(one, aNow) + kOverdueEnd);
+  for (const auto& [key, tracked] : mTasks) {
+    if (tracked.mState != task_state::Queued) {
+      next = std::min(next, ExpectedEnd(tracked, aNow) + kOverdueEnd);
     }
   }
   auto wait = std::chrono::duration_cast<milliseconds>(next - aNow);
@@ -42,19 +44,20 @@
 void
 task_executor::SendPoll(instant aNow)
 {
-  poll_request order;
-  order.mNumber = ++mLastPollNumber;
-  order.mFencingToken = mFencingToken;
-  order.mLastEndSeen = mLastEndSeen;
-  // A backend server that has been silent gets no longer lease: if it runs on
-  // unseen, that must have an end. Before its clock is known there is nothing
-  // to lease.
-  bool steady = mClockKnown && aNow - mLastPollReplyAt < kServerTimeout;
-  order.mLeaseUntilMs = steady ? ExtendLease(aNow) : 0;
-  order.mWaitMs = steady && !mStrays ? uint32_t(PollWait(aNow).count()) : 0;
-  mPendingPolls[order.mNumber] = aNow;
-  mPollTimeoutAt = aNow + milliseconds(order.mWaitMs) + kPollGrace;
-  mRunner.Poll(order);
+  poll_request request;
+  request.mNumber = ++mLastPollNumber;
+  request.mFencingToken = mFencingToken;
+  request.mLastEndSeen = mLastEndSeen;
+  // The lease of a backend server that has timed out is not extended, so that
+  // its tasks end even if they run on unobserved. Before its clock is known,
+  // the end of a lease cannot be given.
+  bool responsive = mClockKnown && aNow - mLastPollReplyAt < kServerTimeout;
+  request.mLeaseUntilMs = responsive ? ExtendLease(aNow) : 0;
+  request.mWaitMs =
+    responsive && !mHasStrays ? uint32_t(PollWait(aNow).count()) : 0;
+  mPendingPolls[request.mNumber] = aNow;
+  mPollTimeoutAt = aNow + milliseconds(request.mWaitMs) + kPollGrace;
+  mRunner.Poll(request);
 }
 
 void
@@ -75,15 +78,15 @@
 void
 task_executor::OnPollReply(uint64_t aNumber,
                            poll_result aResult,
-                           const server_snapshot& aSeen,
+                           const server_snapshot& aSnapshot,
                            instant aNow)
 {
-  auto asked = mPendingPolls.find(aNumber);
-  if (asked == mPendingPolls.end()) {
+  auto pending = mPendingPolls.find(aNumber);
+  if (pending == mPendingPolls.end()) {
     return;
   }
-  instant sent = asked->second;
-  mPendingPolls.erase(asked);
+  instant sentAt = pending->second;
+  mPendingPolls.erase(pending);
   if (aResult == poll_result::FencedOff) {
     mFencingToken += kFencingTokenStep;
   }
@@ -91,28 +94,28 @@
     mNextPoll = aNow + kPollRetryInterval;
     return;
   }
-  // Answers may overtake each other; an older one says nothing new.
+  // Replies may overtake each other; an older one is ignored.
   if (aNumber < mNewestPollReply) {
     return;
   }
   mNewestPollReply = aNumber;
   mLastPollReplyAt = aNow;
-  mNextPoll = mStrays ? aNow + kStrayPollInterval : aNow;
-  mClockOffsetMs = aSeen.mClockMs - ToMs(aNow);
-  CheckIncarnation(aSeen.mStartTimeMs, aNow);
+  mNextPoll = mHasStrays ? aNow + kStrayPollInterval : aNow;
+  mClockOffsetMs = aSnapshot.mClockMs - ToMs(aNow);
+  CheckIncarnation(aSnapshot.mStartTimeMs, aNow);
   mClockKnown = true;
   if (!mReachable) {
     mReachable = true;
     MarkChanged();
   }
-  ApplyEnds(aSeen, aNow);
-  ApplyRunning(aSeen, sent, aNow);
+  ApplyEnds(aSnapshot, aNow);
+  ApplyRunning(aSnapshot, sentAt, aNow);
 }
 
 void
-task_executor::ApplyEnds(const server_snapshot& aSeen, instant aNow)
+task_executor::ApplyEnds(const server_snapshot& aSnapshot, instant aNow)
 {
-  for (const ended_task& end : aSeen.mEnded) {
+  for (const ended_task& end : aSnapshot.mEnded) {
     mLastEndSeen = std::max(mLastEndSeen, end.mNumber);
     auto found = mTasks.find(end.mTask);
     bool ours = found != mTasks.end() &&
@@ -141,28 +144,29 @@
 }
 
 void
-task_executor::ApplyRunning(const server_snapshot& aSeen,
-                            instant aSent,
+task_executor::ApplyRunning(const server_snapshot& aSnapshot,
+                            instant aSentAt,
                             instant aNow)
 {
-  bool strays = aSeen.mForeignRunning > 0;
+  bool strays = aSnapshot.mForeignRunning > 0;
   std::set<task_key> listed;
-  for (const running_task& run : aSeen.mRunning) {
+  for (const running_task& run : aSnapshot.mRunning) {
     auto found = mTasks.find(run.mTask);
     bool ours = found != mTasks.end() &&
                 found->second.mRunNumber == run.mRunNumber &&
                 found->second.mState != task_state::Queued;
     if (ours) {
       found->second.mSeenRunning = true;
-      NoticeProgress(found->second, run.mPercent, aNow);
+      OnProgress(found->second, run.mPercent, aNow);
       listed.insert(run.mTask);
       continue;
     }
-    // Left by a predecessor of this process, or an order carried out late.
+    // Left by an earlier executor process, or started by a request that was
+    // carried out late.
     strays = true;
     instant& next = mStrayStops[run.mTask];
     if (next <= aNow) {
-      next = aNow + kStopRetry;
+      next = aNow + kStopRetryInterval;
       SendStop(run.mTask, run.mRunNumber);
       mEvents.Emit(event_code::StrayStopped,
                    { { "task", FormatJobId(run.mTask.mJob) },
@@ -172,33 +176,36 @@
   if (!strays) {
     mStrayStops.clear();
   }
-  if (mStrays != strays) {
-    mStrays = strays;
-    MarkChanged(); // with strays there is no room
+  if (mHasStrays != strays) {
+    mHasStrays = strays;
+    MarkChanged(); // no capacity is free while there are strays
   }
-  std::vector<task_key> gone;
-  for (const auto& [key, one] : mTasks) {
-    bool settled = one.mState != task_state::Queued &&
-                   one.mConfirmedAt.count() != 0 && one.mConfirmedAt < aSent;
-    if (settled && listed.count(key) == 0) {
-      gone.push_back(key);
+  std::vector<task_key> ended;
+  for (const auto& [key, tracked] : mTasks) {
+    bool confirmed = tracked.mState != task_state::Queued &&
+                     tracked.mConfirmedAt.count() != 0 &&
+                     tracked.mConfirmedAt < aSentAt;
+    if (confirmed && listed.count(key) == 0) {
+      ended.push_back(key);
     }
   }
-  for (const task_key& key : gone) {
-    task& one = mTasks.at(key);
-    End(key, one.mStopping ? one.mStopOutcome : attempt_outcome::Lost, aNow);
+  for (const task_key& key : ended) {
+    task& tracked = mTasks.at(key);
+    End(key,
+        tracked.mStopping ? tracked.mStopOutcome : attempt_outcome::Lost,
+        aNow);
   }
 }
 
-// Tells the task's entry once when its progress shows that it cannot end in
-// its time here. A faster backend server still may.
+// Reports to the task's entry, once, if the progress shows that the task cannot
+// end in time here. On a faster backend server it still may.
 void
-task_executor::NoticeProgress(task& aTask, uint32_t aPercent, instant aNow)
+task_executor::OnProgress(task& aTask, uint32_t aPercent, instant aNow)
 {
   duration ran = aNow - aTask.mStartSentAt;
   aTask.mPercent = aPercent;
   aTask.mPercentAt = aNow;
-  bool early = ran < kFirstForecastAfter || aPercent < kFirstForecastPercent;
+  bool early = ran < kMinProgressTime || aPercent < kMinProgressPercent;
   if (early || aTask.mSlowReported || aTask.mStopping) {
     return;
   }
@@ -207,12 +214,12 @@
     return;
   }
   aTask.mSlowReported = true;
-  auto owner = mEntries.find(aTask.mOwner);
-  if (owner == mEntries.end()) {
+  auto entry = mEntries.find(aTask.mEntry);
+  if (entry == mEntries.end()) {
     return;
   }
   const task_key& key = aTask.mKey;
-  owner->second.mTooSlow.emplace_back(uint32_t(key.mJob >> 32),
+  entry->second.mTooSlow.emplace_back(uint32_t(key.mJob >> 32),
                                       uint32_t(key.mJob),
                                       key.mStep,
                                       key.mIndex,
@@ -221,13 +228,13 @@
 }
 
 void
-task_executor::CheckIncarnation(int64_t aBornMs, instant aNow)
+task_executor::CheckIncarnation(int64_t aStartTimeMs, instant aNow)
 {
-  if (aBornMs == 0 || aBornMs == mServerStartTimeMs) {
+  if (aStartTimeMs == 0 || aStartTimeMs == mServerStartTimeMs) {
     return;
   }
   bool first = mServerStartTimeMs == 0;
-  mServerStartTimeMs = aBornMs;
+  mServerStartTimeMs = aStartTimeMs;
   mLastEndSeen = 0;
   if (first) {
     return;
@@ -245,13 +252,13 @@
 void
 task_executor::EndAllStarted(attempt_outcome aOutcome, instant aNow)
 {
-  std::vector<task_key> ordered;
-  for (const auto& [key, one] : mTasks) {
-    if (one.mState != task_state::Queued) {
-      ordered.push_back(key);
+  std::vector<task_key> started;
+  for (const auto& [key, tracked] : mTasks) {
+    if (tracked.mState != task_state::Queued) {
+      started.push_back(key);
     }
   }
-  for (const task_key& key : ordered) {
+  for (const task_key& key : started) {
     End(key, aOutcome, aNow);
   }
 }
@@ -289,9 +296,9 @@
   auto ranMs = double(ToMs(aNow - aTask.mStartSentAt));
   mMeanRunMs = mMeanRunMs == 0
                  ? ranMs
-                 : kLearnDecay * mMeanRunMs + (1 - kLearnDecay) * ranMs;
-  // Entries forecast run times from this speed; against their forecasts it
-  // would drift together with them.
+                 : kMeanRunDecay * mMeanRunMs + (1 - kMeanRunDecay) * ranMs;
+  // Compared with declared run times, because entries make their forecasts from
+  // this speed: compared with forecasts, both would drift together.
   bool startedCold = aTask.mStartSentAt < mColdUntil;
   (startedCold ? mColdSpeed : mSpeed).Observe(ranMs, double(aTask.mDeclaredMs));
 }
@@ -305,10 +312,10 @@
   return mCold ? mColdSpeed.Slowness() : mSpeed.Slowness();
 }
 
-// A cold backend server is slow for a while, by how much only its tasks show.
-// What was learned of it while warm holds again afterwards.
+// A cold backend server is slow for a while; by how much is only known from its
+// tasks. The estimate from before applies again afterwards.
 void
-task_executor::NoticeCold(instant aNow)
+task_executor::CheckCold(instant aNow)
 {
   bool cold = aNow < mColdUntil;
   if (cold == mCold) {
@@ -325,8 +332,8 @@
   MarkChanged();
 }
 
-// Every lease that was asked for is over and the backend server has not
-// answered since: whatever it ran has ended by its own clock.
+// Once every lease that was requested has expired and the backend server has
+// not replied since, its tasks have ended by its own clock.
 void
 task_executor::CheckLeaseExpiry(instant aNow)
 {
--- a/cactusmast/task_executor_restore.cc
+++ b/cactusmast/task_executor_restore.cc
@@ -1,4 +1,4 @@
-// What an executor knows of its backend server from an earlier process.
+// Use of the announcement that an earlier executor process stored.
 
 #include "cactusmast/task_executor.h"
 
@@ -12,14 +12,15 @@
 task_executor::OnServerRestored(const server_announcement& aServer,
                                 instant aNow)
 {
-  bool otherLife =
+  bool otherIncarnation =
     mServerStartTimeMs != 0 && mServerStartTimeMs != aServer.mStartTimeMs;
-  bool used = mMechanisms.Has(mechanism::ServerRecall);
-  if (!used || mAnnounced || aServer.mStartTimeMs == 0 || otherLife) {
+  bool enabled = mMechanisms.Has(mechanism::ServerRecall);
+  if (!enabled || mServerKnown || aServer.mStartTimeMs == 0 ||
+      otherIncarnation) {
     return;
   }
   SetServer(aServer);
-  mServer.mSequence = 0; // any announcement is newer
+  mServer.mSequence = 0; // any announcement counts as newer
   mRestoredUntil = aNow + kRestoredLifetime;
   mEvents.Emit(event_code::BackendRecalled,
                { { "server", aServer.mId },
@@ -32,11 +33,11 @@
 const server_announcement*
 task_executor::Announcement() const
 {
-  return mAnnounced && !IsRestored() ? &mServer : nullptr;
+  return mServerKnown && !IsRestored() ? &mServer : nullptr;
 }
 
-// Another life may be of another size, or of another service: tasks sized for
-// the recalled one could overload it.
+// Another incarnation may have another capacity or service: tasks sized for the
+// restored one could overload it.
 void
 task_executor::CheckRestored(instant aNow)
 {
@@ -44,7 +45,7 @@
     return;
   }
   if (mServerStartTimeMs != 0 && mServerStartTimeMs != mServer.mStartTimeMs) {
-    DropRestored("another life", aNow);
+    DropRestored("another incarnation", aNow);
   } else if (aNow >= mRestoredUntil) {
     DropRestored("no announcement followed", aNow);
   }
@@ -56,7 +57,7 @@
   mEvents.Emit(event_code::BackendRecalled,
                { { "server", mServer.mId }, { "outcome", aReason } });
   mRestoredUntil = instant(0);
-  mAnnounced = false;
+  mServerKnown = false;
   mRunner.ExpectInstance("");
   ReturnQueued(attempt_outcome::Unusable, aNow);
   MarkChanged();
