--- a/cactusmast/job_table.cc
+++ b/cactusmast/job_table.cc
@@ -135,8 +135,8 @@
 void
 job_table::TrimOutputs()
 {
-  // The newest answer is kept whatever its size: its callers are about to
-  // read it.
+  // The newest answer is kept whatever its size, because its callers are about
+  // to read it.
   while (mAnswerBytes > mOptions.mMaxAnswerBytes && mOutputOrder.size() > 1) {
     auto oldest = mRows.find(mOutputOrder.front());
     mOutputOrder.pop_front();
