--- a/cactusmast/dispatcher.cc
+++ b/cactusmast/dispatcher.cc
@@ -10,15 +10,16 @@
 
 using std::chrono::milliseconds;
 
-// Share of its mean that a running task is expected to take at least from
-// now, however long it has run: run times vary about their mean.
+// A running task is expected to take at least this share of its mean run time
+// from now, however long it has run, because run times vary about their mean.
 constexpr double kLeastRest = 0.4;
-// Holding pays only while there are slots to spare: at least this share of
-// them free, and an expected end this much earlier.
+// A task waits for a faster slot only while more than this share of the usable
+// slots is free, and only if it then finishes within this fraction of the time
+// that it would take on a free slot.
 constexpr double kHoldFreeShare = 0.1;
 constexpr double kHoldGain = 0.9;
-// Work that has waited for half of its deadline goes before all that has
-// not, so that no priority starves another to its deadline.
+// A group that has waited for half of its deadline goes before all that have
+// not, so that no priority starves another until its deadline.
 constexpr double kOverdueShare = 2;
 constexpr double kOverdueWeight = 1e6;
 constexpr milliseconds kMinRetryAfter{ 50 };
@@ -210,10 +211,11 @@
     refuse("the queue of team " + mTeams[aTeam].mName + " is full", run);
   }
   if (slots <= 0) {
-    return; // nobody serves it at present: wait within the deadline
+    return; // no worker serves it at present: it waits within its deadline
   }
-  // What waits ahead of the newcomer is its own team's backlog, served at the
-  // team's share; other teams' backlogs count through the share alone.
+  // The tasks ahead of a new job are the backlog of its own team, which is
+  // served at the team's share. The backlogs of other teams matter only
+  // through that share.
   double share = double(mQueue.Quota(aTeam)) / mQueue.ActiveQuota(aTeam);
   double backlog = 0;
   for (uint32_t lane = 0; lane < mLanes.size(); lane++) {
@@ -264,7 +266,7 @@
     });
   }
   if (freed < aCount) {
-    victims.clear(); // dropping them would not make enough room
+    victims.clear(); // shedding them would not make enough place
   }
   return victims;
 }
@@ -287,8 +289,6 @@
   return limit > 0 && mLanes[aLane].mRunning >= limit;
 }
 
-// Enters the worker's usable slots into the plan: free ones at once, busy
-// ones with the expected rest of what runs there.
 void
 dispatcher::PlanWorker(uint32_t aWorker, instant aNow)
 {
@@ -308,10 +308,10 @@
     double rest = expected - Seconds(aNow - task.mStarted);
     rests.push_back(std::max(rest, expected * kLeastRest));
   }
-  // Tasks of an earlier owner, of which only the number is known.
+  // Of tasks that an earlier owner started only the number is known.
   rests.resize(row.mRunning, Seconds(run_time_estimator::kInitialRun));
   if (excess > 0) {
-    // A slot over the limit is not refilled when it comes free.
+    // A slot above the limit is not used again when it becomes free.
     std::sort(rests.begin(), rests.end());
     rests.erase(rests.begin(), rests.begin() + excess);
   }
@@ -324,7 +324,6 @@
   }
 }
 
-// False when no slot is free, so that there is nothing to plan.
 bool
 dispatcher::MakePlan(instant aNow)
 {
@@ -461,7 +460,7 @@
                      EarliestFinish(next.mLane, true, &freeWorker, &freeEnd);
     if (Capped(next.mLane) ||
         !EarliestFinish(next.mLane, false, &worker, &end)) {
-      next.mQueued = 0; // nobody can take it; the others go on
+      next.mQueued = 0; // no worker can take it; go on with other groups
       continue;
     }
     bool patient =
@@ -493,7 +492,8 @@
     row.mRunning--;
     row.mRunningByLane[aLane]--;
     mLanes[aLane].mRunning--;
-    // Of the lane's tasks there, the one that started nearest to aStarted.
+    // Frees, of the lane's tasks there, the one that started nearest to
+    // aStarted.
     auto nearest = row.mTasks.end();
     for (auto task = row.mTasks.begin(); task != row.mTasks.end(); ++task) {
       bool closer = nearest == row.mTasks.end() ||
--- a/cactusmast/dispatcher.h
+++ b/cactusmast/dispatcher.h
@@ -1,34 +1,36 @@
 // Decides which queued task starts next, and on which worker.
 //
 // One dispatcher serves one shard: a set of workers whose slots one entry
-// holds under leases. Because no one else starts tasks there, the dispatcher
-// knows every slot's occupancy exactly, and needs neither probes nor queues
-// at the workers: a task stays here until a slot is its own, and is never
-// refused for want of one.
+// holds under leases. Because nobody else starts tasks there, the dispatcher
+// knows exactly which slots are occupied, and needs neither probes nor queues
+// at the workers: a task stays here until a slot is reserved for it, and no
+// worker refuses it for lack of a slot.
 //
-// Whenever a slot may be free, the dispatcher plans ahead with what it has
-// learned. It takes the queued groups in order, and lets each task have the
-// slot on which it is expected to end first, counting slots that are busy now
-// with the expected rest of what runs there. A task whose slot is free starts;
-// one that is better off waiting for a faster slot is only entered into the
-// plan, and the free slot goes to the next. So a slow server is used exactly
-// as far as the queue makes it worth while. Waiting needs slots to spare; when
-// nearly all are busy, leaving one idle costs those behind more than it gains.
-// A task that has waited longer than
-// the slow slot would have taken stops waiting, in case the fast ones are held
-// up by stragglers.
+// Whenever a slot may be free, the dispatcher makes a plan from the run times
+// that it has observed. It takes the queued groups in order and assigns each
+// task to the slot on which it is expected to finish first, where a busy slot
+// becomes free after the expected remaining time of its task. A task whose
+// slot is free starts. One that finishes earlier by waiting for a faster slot
+// is only entered into the plan, and the next task may use the free slot. So
+// a slow server is used only as far as the length of the queue justifies it.
+// Waiting is allowed only while enough slots are free; when nearly all are
+// busy, an idle slot delays the tasks behind by more than it gains. A task
+// that has waited longer than the slow slot would have taken stops waiting,
+// because stragglers may occupy the fast slots.
 //
 // The order: teams that are behind in virtual time first; among teams that
-// are level within a small slack, the greatest of two to the priority times
-// (waited + expected run) over the square of the expected run. Short work
-// passes long work at little cost to the latter, and waiting raises the score;
-// what has waited for half of its deadline goes first, so that nothing
-// starves. docs/MEASUREMENTS.md has the figures of the exponents tried.
+// are level within a small slack, the group with the highest score, which is
+// two to the power of the priority times (waited + expected run) divided by
+// the square of the expected run. Short tasks pass long ones at little cost
+// to the latter, and waiting raises the score. A group that has waited for
+// half of its deadline goes first, so that nothing starves.
+// docs/MEASUREMENTS.md compares other exponents.
 //
-// Admission refuses early what cannot be served: a submission that no known
-// worker can ever run, that would overflow its profile's or team's queue, or
-// whose expected wait is over the profile's bound or leaves no time before
-// its deadline. A refused submission has not been run.
+// Admission refuses early a submission that would overflow the queue of its
+// profile or team, or whose expected wait exceeds the profile's bound or
+// leaves too little time before its deadline. A refused submission has not
+// been run. The owner of the shard refuses what no known worker can ever run
+// (IsSatisfiable).
 //
 // Invariants:
 //   - a worker never holds more tasks than its slots, its warm-up limit and
@@ -61,45 +63,47 @@
   uint32_t mCpus = 0;
   uint32_t mMemoryMb = 0;
   uint32_t mAccelerators = 0;
-  // Network latency there and back.
+  // Round-trip time of the network.
   duration mLatency{};
 };
 
 struct dispatcher_options
 {
   health_options mHealth;
-  // Dispatches of refused tasks may not exceed this share of first ones.
+  // Retry budget: dispatches of refused tasks per first dispatch.
   double mRetryShare = 0.1;
-  // Retries allowed regardless, so that small loads can retry at all.
+  // Retries allowed in addition, so that small loads can retry at all.
   uint32_t mRetryFloor = 10;
-  // Off only to measure what waiting for a faster slot gains.
+  // Lets tasks wait for a faster slot. Only a benchmark switches it off, to
+  // show the gain.
   bool mHoldForFaster = true;
   // A team counts as level with the one that is furthest behind while it is
-  // ahead by less than this many seconds of all slots. A tenth of a second
-  // shifts a share over ten seconds by one hundredth at most.
+  // ahead by at most this many seconds of all usable slots. A tenth of a
+  // second changes a team's share over ten seconds by at most one hundredth.
   double mTeamSlack = 0.05;
-  // Queued tasks that one plan looks at.
+  // Number of queued tasks that one plan covers.
   uint32_t mPlanHorizon = 64;
 };
 
+// One task of mJob that starts on mWorker.
 struct assignment
 {
   job_handle mJob;
   uint32_t mLane;
   uint32_t mTeam;
   uint32_t mWorker;
-  duration mExpected;
+  duration mExpected; // run time
 };
 
-// How a task that was assigned came back.
+// The end of a task that was started by an assignment.
 struct completion
 {
   uint32_t mWorker;
   uint32_t mLane;
   uint32_t mTeam;
-  duration mExpected; // from the assignment
+  duration mExpected; // of the assignment
   duration mRunTime;
-  bool mFailed; // by the worker's fault, as far as can be told
+  bool mFailed; // probably by a fault of the worker
 };
 
 class dispatcher
@@ -107,20 +111,23 @@
 public:
   explicit dispatcher(const dispatcher_options& aOptions);
 
-  // The lane of a profile; adds or updates it.
+  // Adds or updates a profile, and returns the index of its lane.
   uint32_t SetLane(const profile& aProfile);
+  // Adds or updates a team, and returns its index.
   uint32_t SetTeam(const team& aTeam);
 
+  // Returns the worker's index, which may be that of a removed worker. Nothing
+  // starts on it before SetAccepting.
   uint32_t AddWorker(const worker_traits& aTraits);
-  // Slots, services or capabilities changed.
   void UpdateWorker(uint32_t aWorker, const worker_traits& aTraits);
-  // False keeps the worker but starts nothing on it.
+  // If aAccepting is false, the worker stays and no task starts on it.
   void SetAccepting(uint32_t aWorker, bool aAccepting);
-  // It is gone; its running tasks must be settled by the caller first.
+  // The caller must have finished the worker's running tasks before.
   void RemoveWorker(uint32_t aWorker);
 
-  // Decides about a submission of aCount tasks; throws failure when refused.
-  // aRandom (0 to 1) spreads the advised return of refused callers.
+  // Decides about a submission of aCount tasks; throws failure(Overloaded)
+  // when it is refused. aRandom (0 to 1) spreads the times after which refused
+  // callers are advised to retry.
   void Admit(uint32_t aLane,
              uint32_t aTeam,
              uint32_t aCount,
@@ -133,28 +140,36 @@
                instant aNow);
   uint32_t Remove(job_handle aJob) { return mQueue.Remove(aJob); }
 
-  // The next start, or false when nothing can or should start now.
+  // Takes the next task to start from the queue and occupies a slot for it.
+  // False when no task can or should start now.
   bool Next(instant aNow, assignment* aOut);
 
+  // A started task ended: frees its slot, corrects the team's virtual time and
+  // observes the run time or the failure.
   void Finished(const completion& aDone, instant aNow);
-  // The worker did not start it: the slot is free again, nothing was learned.
+  // The worker did not start the task: frees its slot and takes the charge of
+  // the team back. Nothing is observed.
   void NotStarted(uint32_t aWorker,
                   uint32_t aLane,
                   uint32_t aTeam,
                   duration aExpected);
-  // Counts the slot of a task found running on a worker that was taken over,
-  // and frees it again.
+  // Occupies and frees the slot of a task that an earlier owner of the shard
+  // started on aWorker.
   void AdoptRunning(uint32_t aWorker) { mWorkers[aWorker].mRunning++; }
   void ReleaseAdopted(uint32_t aWorker) { mWorkers[aWorker].mRunning--; }
-  // True when the retry budget allows one more dispatch of a refused task.
+  // Takes one retry of a refused task from the retry budget; false when the
+  // budget is exhausted.
   bool TakeRetry();
+  // Queues a task again that was assigned and did not start.
   void PutBack(job_handle aJob, uint32_t aLane, uint32_t aTeam, instant aNow);
 
-  // True when some known worker could run the lane's tasks, busy or not.
+  // Whether some known worker can run the lane's tasks, busy or not.
   bool IsSatisfiable(uint32_t aLane) const;
+  // Whether a worker has the service and the resources that a profile needs.
   static bool Fits(const worker_traits& aTraits, const profile& aProfile);
-  // The team's queued jobs of lower priority that make room for aCount tasks
-  // of aLane, when its shedding order allows.
+  // The team's queued jobs of lower priority that have to be shed to make
+  // place for aCount tasks of aLane. Empty if the lane's shedding order does
+  // not allow it or if shedding all of them would not suffice.
   std::vector<job_handle> ShedFor(uint32_t aLane,
                                   uint32_t aTeam,
                                   uint32_t aCount) const;
@@ -181,6 +196,7 @@
   {
     return mHealth.IsQuarantined(aWorker, aNow);
   }
+  // Number of retries taken from the budget.
   uint64_t Retries() const { return mRetries; }
 
 private:
@@ -192,12 +208,12 @@
 
   struct worker_row
   {
-    bool mPresent = false;
+    bool mPresent = false; // false: the index is unused
     bool mAccepting = false;
     worker_traits mTraits;
-    uint32_t mRunning = 0;
-    std::vector<uint32_t> mRunningByLane;
-    std::vector<running_task> mTasks;
+    uint32_t mRunning = 0; // with tasks that an earlier owner started
+    std::vector<uint32_t> mRunningByLane; // without those
+    std::vector<running_task> mTasks;     // without those
   };
 
   struct lane_row
@@ -208,14 +224,20 @@
   };
 
   void RefreshEligible(lane_row& aLane, uint32_t aWorker);
+  // Starts a new plan; false when no slot is free, so that there is nothing to
+  // plan.
   bool MakePlan(instant aNow);
+  // Enters the worker's usable slots into the plan: free ones for now, busy
+  // ones for the expected end of their tasks.
   void PlanWorker(uint32_t aWorker, instant aNow);
-  // The group that goes next in the plan; false when none is left.
+  // Finds the group that is next in the plan; false when none is left.
   bool NextGroup(instant aNow, size_t* aIndex);
   double Score(const task_queue::group& aGroup, instant aNow) const;
+  // Whether the lane runs as many tasks as its profile allows.
   bool Capped(uint32_t aLane) const;
-  // The worker on which a task of aLane is expected to end first; false when
-  // none can take it. With aFreeOnly, among those with a free slot.
+  // Finds the worker on which a task of aLane is expected to finish first, and
+  // when (aEnd, in seconds from now); false when no worker can take it.
+  // aFreeOnly considers only workers with a free slot.
   bool EarliestFinish(uint32_t aLane,
                       bool aFreeOnly,
                       uint32_t* aWorker,
@@ -225,7 +247,8 @@
              instant aNow,
              assignment* aOut);
   void Release(uint32_t aWorker, uint32_t aLane, instant aStarted);
-  // Slots that the lane's tasks may use, and their mean expected run time.
+  // Slots that the lane's tasks may use, and their mean expected run time
+  // there.
   void Capacity(uint32_t aLane, double* aSlots, duration* aRun) const;
 
   dispatcher_options mOptions;
@@ -235,15 +258,16 @@
   std::vector<worker_row> mWorkers;
   std::vector<lane_row> mLanes;
   std::vector<team> mTeams;
-  // The plan under way; void after any change or when time moves on.
+  // The current plan. It becomes invalid with any change and when time has
+  // advanced.
   bool mPlanValid = false;
   instant mPlanTime{};
   slot_plan mPlan;
-  std::vector<task_queue::group> mGroups;
-  std::vector<double> mTeamTimes;
-  uint32_t mPlanned = 0;
+  std::vector<task_queue::group> mGroups; // without planned tasks
+  std::vector<double> mTeamTimes;         // virtual times with planned tasks
+  uint32_t mPlanned = 0;                  // tasks in the plan
   uint32_t mFreeSlots = 0;
-  uint32_t mUsableSlots = 0;
+  uint32_t mUsableSlots = 0; // free and busy ones
   uint64_t mFirstDispatches = 0;
   uint64_t mRetries = 0;
 };
--- a/cactusmast/task_queue.h
+++ b/cactusmast/task_queue.h
@@ -5,12 +5,13 @@
 // take turns task by task, so that a job of a thousand tasks does not hold up
 // a job of one.
 //
-// Between teams the queue keeps weighted virtual time: every start advances
-// its team's time by the expected run time over the team's quota, and the
-// real run time corrects that afterwards, so a wrong guess costs only its own
-// team. A team that was idle resumes at the present virtual time: idleness
-// earns no credit, and unused shares go to whoever has work. Which group goes
-// next is the dispatcher's decision, made from these times.
+// For fairness between teams the queue keeps weighted virtual time: every
+// start advances its team's time by the expected run time divided by the
+// team's quota, and the actual run time corrects that afterwards, so that a
+// wrong estimate affects only the team itself. A team that was idle continues
+// at the current virtual time: idle time earns no credit, and unused shares
+// go to the teams that have work. The dispatcher decides from these times
+// which group is next.
 //
 // The cost of a step grows with the number of groups that have work, never
 // with the number of queued tasks; removing a job costs the same whether it
@@ -30,32 +31,36 @@
 
 namespace cactusmast {
 
-// A job as its owner's table numbers it.
+// Number of a job in the job_table of its shard's owner; never 0 there.
 using job_handle = uint32_t;
 
 class task_queue
 {
 public:
-  // Quotas below 1 count as 1.
+  // Adds a team or changes its quota. Quotas below 1 count as 1.
   void SetTeam(uint32_t aTeam, uint32_t aQuota);
 
+  // Adds aCount tasks of a job behind the other jobs of its group.
   void Push(job_handle aJob,
             uint32_t aLane,
             uint32_t aTeam,
             uint32_t aCount,
             instant aNow);
 
-  // Takes one task of the next job of the group, or returns false.
+  // Takes one task of the group's next job; false when the group has none.
   bool Pop(uint32_t aLane, uint32_t aTeam, job_handle* aJob);
 
-  // Puts back one task that did not start, ahead of its equals.
+  // Puts back one task that was taken and did not start. A job that has no
+  // other queued tasks becomes the next of its group.
   void PutBack(job_handle aJob, uint32_t aLane, uint32_t aTeam, instant aNow);
 
-  // Forgets a job's queued tasks; returns how many there were.
+  // Removes all queued tasks of a job and returns their number.
   uint32_t Remove(job_handle aJob);
 
-  // Advances the team's virtual time, or moves it back.
+  // Adds aSeconds of run time, divided by the team's quota, to its virtual
+  // time. A negative value takes an earlier charge back.
   void Charge(uint32_t aTeam, double aSeconds);
+  // In seconds of run time per unit of quota.
   double VirtualTime(uint32_t aTeam) const
   {
     return mTeams[aTeam].mVirtualTime;
@@ -67,21 +72,24 @@
     uint32_t mLane = 0;
     uint32_t mTeam = 0;
     uint32_t mQueued = 0;
-    instant mSince{}; // its next job waits since then
+    instant mSince{}; // when its next job was queued
   };
-  // Replaces aOut's content with all groups that have work.
+  // Replaces the content of aOut by all groups that have work.
   void Groups(std::vector<group>* aOut) const;
 
+  // Numbers of queued tasks; 0 for an unknown lane, team or job.
   uint32_t Queued(uint32_t aLane) const;
   uint32_t QueuedOfTeam(uint32_t aTeam) const;
   uint32_t QueuedOfTeam(uint32_t aLane, uint32_t aTeam) const;
   uint32_t QueuedOf(job_handle aJob) const;
   uint32_t Total() const { return mTotal; }
-  // Sum of the quotas of all teams with queued work, with aTeam counted in.
+  // Sum of the quotas of aTeam and of all other teams with queued work; at
+  // least 1.
   uint32_t ActiveQuota(uint32_t aTeam) const;
   uint32_t Quota(uint32_t aTeam) const { return mTeams[aTeam].mQuota; }
 
-  // Calls aVisit with the queued jobs of a group, until it returns false.
+  // Calls aVisit for each job of a group, the next one first, until it returns
+  // false.
   void VisitJobs(uint32_t aLane,
                  uint32_t aTeam,
                  const std::function<bool(job_handle)>& aVisit) const;
@@ -93,12 +101,14 @@
     uint32_t mTeam;
     uint32_t mQueued;
     instant mSince;
-    bool mListed; // present in its group's ring
+    bool mListed; // is in its group's ring
   };
 
   struct group_row
   {
-    std::deque<job_handle> mRing; // the front goes next
+    // Jobs in the order of their turns; the front is next. Removed jobs may
+    // remain in it until they come to the front.
+    std::deque<job_handle> mRing;
     uint32_t mQueued = 0;
   };
 
@@ -121,15 +131,16 @@
                   instant aNow);
   void Add(job_row& aRow, uint32_t aCount);
   void Subtract(const job_row& aRow, uint32_t aCount);
+  // Adds a job to the ring of its group unless it is there already.
   void List(job_handle aJob, job_row& aRow, bool aFront);
-  // Drops jobs without queued tasks from the ring's front.
+  // Removes jobs without queued tasks from the front of the ring.
   void Tidy(group_row& aGroup);
 
   std::vector<lane_row> mLanes;
   std::vector<team_row> mTeams;
   std::unordered_map<job_handle, job_row> mJobs;
   uint32_t mTotal = 0;
-  double mVirtualNow = 0; // virtual time of the latest start
+  double mVirtualNow = 0; // greatest virtual time of a team at a start
 };
 
 } // namespace cactusmast
--- a/cactusmast/testing/queue_test.cc
+++ b/cactusmast/testing/queue_test.cc
@@ -1,4 +1,5 @@
-// The queue against a slow oracle, and the decisions that are made from it.
+// Tests of the task queue against a simple model of it, of the dispatcher's
+// decisions, and of the estimates and the health checks of workers behind them.
 
 #include <cmath>
 #include <doctest/doctest.h>
@@ -33,7 +34,8 @@
   return traits;
 }
 
-// A dispatcher with workers that have proved themselves.
+// A dispatcher with two profiles, two teams whose quotas are 1 and 3, and
+// workers of equal size.
 struct dispatch_fixture
 {
   explicit dispatch_fixture(uint32_t aWorkers,
@@ -50,6 +52,7 @@
     }
   }
 
+  // Starts one task; false when none can start.
   bool Next()
   {
     assignment next;
@@ -60,7 +63,7 @@
     return true;
   }
 
-  // Ends the oldest running task.
+  // Ends the task that has run longest.
   void Finish(bool aFailed = false, duration aRun = milliseconds(100))
   {
     assignment done = mRunning.front();
@@ -70,6 +73,8 @@
       mNow);
   }
 
+  // Runs enough tasks that every worker may use all its slots and that run
+  // times are known.
   void WarmUp()
   {
     for (int i = 0; i < 200; i++) {
@@ -90,7 +95,7 @@
 
 } // namespace
 
-TEST_CASE("the queue agrees with a slow oracle")
+TEST_CASE("the queue loses no task and counts none twice")
 {
   std::mt19937 random(5);
   for (int round = 0; round < 200; round++) {
@@ -153,7 +158,7 @@
   }
 }
 
-TEST_CASE("jobs of one group take turns")
+TEST_CASE("jobs of one group take turns, so that a large one delays no other")
 {
   task_queue queue;
   queue.Push(1, 0, 0, 1000, seconds(1));
@@ -164,7 +169,7 @@
   CHECK(job == 2);
 }
 
-TEST_CASE("no worker holds more than its slots and limits")
+TEST_CASE("no worker ever holds more tasks than it has slots")
 {
   std::mt19937 random(9);
   dispatch_fixture fixture(5, 4);
@@ -186,7 +191,7 @@
   }
 }
 
-TEST_CASE("teams with work share by their quotas")
+TEST_CASE("teams with queued work share the slots by their quotas")
 {
   dispatch_fixture fixture(4, 4);
   fixture.WarmUp();
@@ -206,8 +211,8 @@
 
 TEST_CASE("a team that was idle earns no credit")
 {
-  // One team works alone for long. When the other comes, it gets its share
-  // from then on, and not all slots until it has caught up.
+  // One team works alone for long. When the other one gets work, it must get
+  // its share from then on, and not all slots until it has caught up.
   dispatch_fixture fixture(4, 4);
   fixture.WarmUp();
   fixture.mDispatcher.Enqueue(1, 0, 0, 20000, fixture.mNow);
@@ -229,7 +234,7 @@
   CHECK(started[0] > 150);
 }
 
-TEST_CASE("a short check passes a job of a thousand long tasks")
+TEST_CASE("an urgent task does not wait for a job of a thousand tasks")
 {
   dispatch_fixture fixture(2, 4);
   fixture.mDispatcher.SetLane(MakeProfile("door", 9));
@@ -244,7 +249,7 @@
   CHECK(fixture.mRunning.back().mJob == 2);
 }
 
-TEST_CASE("overload is refused early, with a time to come back")
+TEST_CASE("a job that would wait too long is refused with a time to retry")
 {
   dispatch_fixture fixture(1, 4);
   fixture.WarmUp();
@@ -260,11 +265,13 @@
     CHECK(error.RunState() == run_state::NotRun);
     CHECK(error.RetryAfter() >= milliseconds(50));
   }
-  // Another team's share is free: its work is admitted.
+  // The share of the other team is unused, so its job is admitted.
   fixture.mDispatcher.Admit(0, 1, 1, seconds(10), 0.5);
 }
 
-TEST_CASE("a full queue sheds lower priorities where the profile says so")
+TEST_CASE(
+  "a full queue sheds jobs of the same team and lower priority, if that "
+  "suffices and the profile allows it")
 {
   dispatch_fixture fixture(1, 4);
   profile urgent = MakeProfile("urgent", 9);
@@ -278,7 +285,7 @@
   CHECK(fixture.mDispatcher.ShedFor(0, 0, 10).empty());
 }
 
-TEST_CASE("retries stay within their budget")
+TEST_CASE("retries use up their budget and never exceed it")
 {
   dispatch_fixture fixture(4, 8);
   fixture.mDispatcher.Enqueue(1, 0, 0, 1000, fixture.mNow);
@@ -297,7 +304,7 @@
   CHECK(retries >= 100);
 }
 
-TEST_CASE("a worker that fails what others complete is set aside")
+TEST_CASE("a worker that fails what others complete is quarantined")
 {
   worker_health health((health_options()));
   for (uint32_t w = 0; w < 4; w++) {
@@ -311,7 +318,8 @@
   health.RecordFailure(0, seconds(21));
   CHECK(health.IsQuarantined(0, seconds(21)));
   CHECK(health.Limit(0, 8, seconds(21)) == 0);
-  // A success of a task from before the failures does not bring it back.
+  // The success of a task that started before the failures does not end the
+  // quarantine.
   health.RecordSuccess(0, seconds(19));
   CHECK(health.IsQuarantined(0, seconds(21)));
   CHECK(health.Limit(0, 8, seconds(60)) == 1);
@@ -319,7 +327,7 @@
   CHECK(health.Limit(0, 8, seconds(61)) == 2);
 }
 
-TEST_CASE("when all fail, none is set aside")
+TEST_CASE("when all workers fail, none is quarantined")
 {
   worker_health health((health_options()));
   for (uint32_t w = 0; w < 4; w++) {
@@ -335,7 +343,7 @@
   }
 }
 
-TEST_CASE("run times and speeds are learned from results alone")
+TEST_CASE("estimates of run times follow the results of slow and fast workers")
 {
   run_time_estimator estimator;
   std::mt19937 random(2);
