--- a/cactusmast/testing/overload_test.cc
+++ b/cactusmast/testing/overload_test.cc
@@ -1,4 +1,5 @@
-// What callers get when more work comes than the backend servers can do.
+// Lateness and goodput near and above the capacity of the backend servers,
+// which differ in speed.
 
 #include <doctest/doctest.h>
 
@@ -12,8 +13,9 @@
 using std::chrono::seconds;
 
 constexpr double kSpeeds[] = { 0.6, 1.0, 1.6 };
+// Standard deviation of the logarithm of declared over actual run times.
 constexpr double kDeclaredOff = 0.4;
-// Of the goodput at a load that just fills the room.
+// Share of the goodput at a load that equals the capacity.
 constexpr double kLeastGoodput = 0.9;
 
 void
@@ -24,6 +26,7 @@
   }
 }
 
+// Runs aLoad times the work that the backend servers can do.
 load_result
 Overload(double aLoad, uint32_t aSeed)
 {
@@ -36,10 +39,11 @@
 
 } // namespace
 
-TEST_CASE("with a fifth of the room left one answer in a hundred may be late")
+TEST_CASE("at four fifths of the capacity fewer than one job in a hundred is "
+          "late or refused")
 {
   // Guards against tasks that queue at a busy backend server, start too late
-  // there or come back, while there is room elsewhere.
+  // there or come back unstarted, while others have free capacity.
   for (uint32_t seed : { 1u, 2u, 3u }) {
     sized_world world(10, 62, seed);
     MakeUneven(&world);
@@ -51,10 +55,12 @@
   }
 }
 
-TEST_CASE("lost answers of backend servers make one job in a hundred late")
+TEST_CASE(
+  "lost replies of backend servers make fewer than one job in a hundred "
+  "late")
 {
-  // Guards against ends and free room that go unseen while an executor waits
-  // for an answer that will not come.
+  // Guards against ended tasks and free capacity that go unnoticed while an
+  // executor waits for a reply that will not come.
   for (uint32_t seed : { 1u, 2u, 3u }) {
     sized_world world(10, 62, seed);
     MakeUneven(&world);
@@ -69,9 +75,9 @@
   }
 }
 
-TEST_CASE("goodput at twice the load stays at nine tenths of its peak")
+TEST_CASE("goodput at twice the capacity is at least nine tenths of its peak")
 {
-  // Guards against room that is spent on answers which come late all the same.
+  // Guards against capacity spent on jobs whose answers are late anyway.
   for (uint32_t seed : { 1u, 2u, 3u }) {
     double peak = Overload(1.0, seed).mTimelyWorkS;
     double twice = Overload(2.0, seed).mTimelyWorkS;
@@ -80,9 +86,11 @@
   }
 }
 
-TEST_CASE("goodput at five times the load stays at nine tenths of its peak")
+TEST_CASE("goodput at five times the capacity is at least nine tenths of its "
+          "peak")
 {
-  // Guards against entries that drown in what they cannot serve.
+  // Guards against entries that spend their time on jobs that they cannot
+  // serve.
   double peak = Overload(1.0, 4).mTimelyWorkS;
   double five = Overload(5.0, 4).mTimelyWorkS;
   MESSAGE("five times: ", five / peak);
