--- a/cactusmast/shard_owner.cc
+++ b/cactusmast/shard_owner.cc
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-// Workers and leases. Records are in shard_owner_records.cc, callers in
-// shard_owner_accept.cc, dispatch and results in
+// Workers and leases. Records are in shard_owner_records.cc, requests of
+// callers in shard_owner_accept.cc, dispatches and results in
 // shard_owner_jobs.cc.
 
 namespace cactusmast {
@@ -107,7 +107,7 @@
   auto known = mWorkers.find(aIdentity.mName);
   if (known != mWorkers.end() &&
       known->second.mIdentity.mIncarnation != aIdentity.mIncarnation) {
-    // The guard restarted: what it knew of its tasks is gone.
+    // The guard restarted and has lost its records.
     LoseWorker(known->second, aNow);
     RemoveWorker(aIdentity.mName);
     known = mWorkers.end();
@@ -119,7 +119,7 @@
     mWorkerByHandle[row.mHandle] = aIdentity.mName;
     row.mRosterVersion = ++mRosterVersion;
   } else if (row.mPeer != 0 && row.mPeer != aPeer) {
-    // The guard replaced a link that it found dead before this side did.
+    // The guard replaced a link that it found broken before this side did.
     mWorkerByPeer.erase(row.mPeer);
     mNetwork.Close(row.mPeer);
   }
@@ -176,8 +176,8 @@
   aRow.mSent.push_back({ aRow.mSequence, aNow });
   constexpr size_t kMaxOutstanding = 64;
   if (aRow.mSent.size() > kMaxOutstanding) {
-    // Every other one: confirmations of the rest still count, from a time
-    // that is at most a little too early.
+    // Keeps every other one. A confirmation of one that is dropped extends the
+    // lease from the time of the one before it, which is only slightly earlier.
     std::deque<sent_sequence> kept;
     for (size_t i = 0; i < aRow.mSent.size(); i += 2) {
       kept.push_back(aRow.mSent[i]);
@@ -203,8 +203,8 @@
   mNetwork.Send(aRow.mPeer, MakeMessage(std::move(request)));
 }
 
-// The guard has acted on aSequence, so its lease runs at least from the time
-// that message was sent.
+// The guard has received the message with aSequence, so its lease runs at
+// least from the time when that message was sent.
 void
 shard_owner::ConfirmLease(worker_row& aRow, uint64_t aSequence, instant aNow)
 {
@@ -241,10 +241,12 @@
       UpdateAccepting(*row, aNow);
       return;
     }
-    // Nothing was granted to this owner yet. Its claim must come after the
-    // latest owner's, and waits until the guard's present lease has ended.
+    // No guard has granted this owner a lease yet. Its epoch must be greater
+    // than that of the latest owner, and it retries until the guard's present
+    // lease has ended.
     if (another && mSafeguards.mWaitForRecords) {
-      // Whatever a previous owner handed over, somebody came in between.
+      // Another owner came after the one that may have handed over, so the
+      // records of all workers are needed again.
       mMissing = mInitialKnown;
     }
     mEpoch = std::max(mEpoch, aReply.epoch + 1);
@@ -275,9 +277,10 @@
   QueryInFlight(aRow);
 }
 
-// After a broken link nobody knows which dispatches arrived. The guard tells,
-// and revokes what it has not seen, so that what is sent again cannot have
-// started and cannot start later from a late copy.
+// After a broken link it is in doubt which dispatches arrived. The guard
+// replies which tasks it has not started and revokes them, so that a task that
+// is dispatched again has not started and cannot start later from a delayed
+// message.
 void
 shard_owner::QueryInFlight(worker_row& aRow)
 {
@@ -391,7 +394,8 @@
       silent.push_back(row.mPeer);
       continue;
     }
-    // Traffic renews the lease; only idle links need a request of their own.
+    // Dispatches and their results renew the lease too, so only an idle link
+    // needs a request of its own.
     bool aging =
       row.mLeaseEnd - aNow < mOptions.mLease - mOptions.mRenewInterval;
     duration pause =
@@ -460,7 +464,7 @@
     }
   }
   if (mSuperseded) {
-    return; // until the entry has taken the jobs back
+    return; // the entry takes the jobs back by StepDown
   }
   ReleaseHeld(aNow);
   ExpireDeadlines(aNow);
--- a/cactusmast/shard_owner.h
+++ b/cactusmast/shard_owner.h
@@ -1,24 +1,25 @@
 // The entry's side of a shard that it owns: leases on the workers' slots, the
 // jobs, and the recovery of what an earlier owner started.
 //
-// Ownership is not written down anywhere. An entry owns a shard as far as the
+// Ownership is not stored anywhere. An entry owns a shard as far as the
 // shard's guards lease their slots to it, and a guard leases to one owner at a
-// time (guard_node.h). A new owner therefore learns, together with each
-// lease, everything that ever started on that worker within the retention
-// time. Once every worker that may hold records has reported, the shard is
-// complete: a key without a record was certainly never started, and is
-// accepted. Before that, unknown keys wait a moment and are then refused as
-// in doubt; known ones are answered from the records.
+// time (guard_node.h). Together with each lease, the guard reports to the new
+// owner everything that started on its worker within the retention time. Once
+// every worker that may hold records has reported, the shard is complete: a
+// job without a record was certainly never started, and is accepted. Before
+// that, submissions of unknown jobs are held for a while and then refused as
+// in doubt; known jobs are answered from the records.
 //
-// A dispatch without an answer is never sent elsewhere. When a worker's link
-// breaks, its tasks stay its own; when the link is back, the guard is asked
-// about each, and only those it then revokes are dispatched again. When the
-// worker is gone for good (a new incarnation, or silence for the give-up
-// time), its tasks are settled as failed with run state unknown.
+// A dispatch without a reply is never sent to another worker. When a worker's
+// link breaks, its tasks stay assigned to it; when the link is back, the guard
+// is asked about each of them, and only those that it then revokes are
+// dispatched again. When the worker is lost (it has a new incarnation, or had
+// no working link for mWorkerTimeout), its tasks finish as failed with an
+// unknown run state.
 //
-// The lease is counted from the moment the renewal was sent, so this side
-// always believes it to end before the guard does, whatever the delay between
-// them and however long this process was paused.
+// The lease is counted from the moment when its renewal was sent, so it always
+// ends here before it ends at the guard, regardless of the delay between them
+// and of pauses of this process.
 
 #ifndef CACTUSMAST_SHARD_OWNER_H_
 #define CACTUSMAST_SHARD_OWNER_H_
@@ -37,8 +38,8 @@
 
 namespace cactusmast {
 
-// The step of an Unavailable reply that asks the sending entry to find the
-// shard's owner again; callers never see it.
+// The step in an Unavailable reply by which an owner asks the sending entry to
+// look up the shard's owner again; callers never see it.
 constexpr char kRouteStep[] = "route";
 
 struct owner_options
@@ -47,29 +48,35 @@
   std::string mDataCenter;
   dispatcher_options mDispatcher;
   job_table_options mJobs;
-  // Must not be longer than the guards'.
+  // Must not be longer than that of the guards.
   duration mLease = std::chrono::milliseconds(2500);
+  // The lease ends this long before it would end by mLease.
   duration mLeaseMargin = std::chrono::milliseconds(200);
+  // A lease that was not confirmed for this long is renewed by a message of
+  // its own.
   duration mRenewInterval = std::chrono::milliseconds(900);
-  // A worker without a working link for this long is given up.
+  // A worker without a working link for this long is lost.
   duration mWorkerTimeout = std::chrono::seconds(10);
-  // Unknown keys wait this long for missing records.
+  // From the claim; submissions of unknown jobs are held this long for missing
+  // records.
   duration mHold = std::chrono::seconds(5);
   size_t mMaxHeld = 10000;
-  // After a claim, time for workers to attach before a job may be found
+  // From the claim; time for workers to connect before a job may be found
   // unsatisfiable.
   duration mDiscovery = std::chrono::seconds(3);
-  // After a job's deadline, time for the guards' last results to arrive.
+  // After a job's deadline, time for the last results of the guards to arrive.
   duration mDeadlineGrace = std::chrono::seconds(1);
-  // Acknowledgements travel with dispatches; alone only after this long.
+  // Acknowledgements are sent with dispatches, and alone after this long.
   duration mAckLinger = std::chrono::milliseconds(500);
-  // Profiles that prefer few messages wait this long for company.
+  // Dispatches of profiles that prefer few messages wait this long for others
+  // to the same worker.
   duration mDispatchLinger = std::chrono::milliseconds(4);
-  // Latency there and back, assumed for workers elsewhere.
+  // Round-trip time assumed for workers in other data centres.
   duration mRemoteLatency = std::chrono::milliseconds(1);
 };
 
-// Safeguards that tests switch off to show what each is for.
+// Safeguards that tests switch off, to show that a scenario fails without
+// each.
 struct owner_safeguards
 {
   bool mWaitForRecords = true;
@@ -86,20 +93,20 @@
 {
   std::string mName;
   uint64_t mIncarnation = 0;
-  // When this process last knew it alive; its records matter for the
-  // retention time from then.
+  // When the worker was last known to be alive. Its records are needed for
+  // the retention time from then.
   instant mLastAlive{};
 };
 
-// Stands for workers that a new process cannot know of while the table is
-// away.
+// Name of a known_worker that stands for the workers in the stored roster
+// while the table is unavailable.
 constexpr char kUnlistedWorker[] = "(unlisted)";
 
-// What a guard announced, without the latency to it.
+// The traits that a guard announced; the latency is 0.
 worker_traits
 TraitsOf(const wire::worker_state_msg& aState);
 
-// Receives the owner's answers to waiters.
+// Receives the owner's answers to callers; aToken is that of the waiter.
 class answer_sink
 {
 public:
@@ -107,17 +114,18 @@
   virtual void Answer(uint64_t aToken, wire::job_reply_msg aReply) = 0;
 };
 
-// Messages by kind, for the users' measure of wasted ones.
+// Numbers of messages, tasks and jobs since the claim. Users derive the share
+// of wasted messages from them.
 struct owner_counters
 {
   uint64_t mDispatchMessages = 0;
   uint64_t mDispatchedTasks = 0;
-  uint64_t mRepeatedTasks = 0; // dispatched again after a refusal
+  uint64_t mRepeatedTasks = 0; // queued again as certainly not started
   uint64_t mResultMessages = 0;
   uint64_t mResultTasks = 0;
   uint64_t mDuplicateResults = 0;
   uint64_t mRefusedTasks = 0;
-  uint64_t mAckMessages = 0; // that carried nothing else
+  uint64_t mAckMessages = 0; // with acknowledgements only
   uint64_t mSettleMessages = 0;
   uint64_t mCancelMessages = 0;
   uint64_t mFetchMessages = 0;
@@ -147,15 +155,16 @@
               owner_safeguards aSafeguards = {});
 
   void SetConfig(const deployment_config& aConfig);
-  // What workers that this process saw before could do.
+  // Traits of workers that are not connected, and when they last were.
   void SetAbsent(
     std::map<std::string, std::pair<worker_traits, instant>> aAbsent)
   {
     mAbsent = std::move(aAbsent);
   }
 
-  // A guard of this shard connected, perhaps again.
+  // A guard of this shard connected, for the first time or again.
   void Attach(peer_id aPeer, const peer_identity& aIdentity, instant aNow);
+  // The connection of a guard was closed.
   void Detach(peer_id aPeer, instant aNow);
   void OnWorkerState(peer_id aPeer, const wire::worker_state_msg& aState);
   void OnLeaseReply(peer_id aPeer,
@@ -170,9 +179,12 @@
   void OnSettleReply(peer_id aPeer,
                      const wire::settle_reply_msg& aReply,
                      instant aNow);
-  // Part of what the previous owner knew, at a planned change of owners.
+  // One part of the state of the previous owner, which stepped down.
   void OnHandover(const wire::handover_msg& aPart, instant aNow);
 
+  // Each of the three answers aWaiter once: when the job is decided, with its
+  // current state when the waiter's time ends, or with an error; unless
+  // StepDown returns the waiter before.
   void Submit(submission aSubmission, const waiter& aWaiter, instant aNow);
   void Watch(const std::string& aTeam,
              const job_id& aId,
@@ -185,9 +197,9 @@
 
   void Tick(instant aNow);
 
-  // Gives the shard up: what the successor needs goes to aSuccessor (0: to
-  // nobody) and the guards are released. Undecided jobs come back to be
-  // submitted again to the successor, with their waiters.
+  // Gives the shard up: sends the state that the next owner needs to
+  // aSuccessor (0: to nobody) and releases the guards. Returns the undecided
+  // jobs with their waiters, to be submitted again to the successor.
   struct moved_job
   {
     submission mSubmission;
@@ -195,29 +207,30 @@
   };
   std::vector<moved_job> StepDown(peer_id aSuccessor, instant aNow);
 
-  // Everything that waits or runs is settled with what is known of it.
+  // Fails all undecided jobs: queued tasks as not run, dispatched ones with an
+  // unknown run state.
   void FailAll(instant aNow);
 
+  // Whether all workers that may hold records have reported.
   bool Complete() const { return mMissing.empty(); }
   uint64_t Epoch() const { return mEpoch; }
-  // A guard was leased to another owner after this one began. That owner may
-  // have started tasks that stand as queued here, so this one must give up
-  // and, if it is to own the shard again, begin anew from the records.
+  // Whether another owner has leased a guard since this one first did. That
+  // owner may have started tasks that are queued here, so this one must step
+  // down and, to own the shard again, start from the records.
   bool Superseded() const { return mSuperseded; }
   uint32_t LeasedWorkers(instant aNow) const;
   const owner_counters& Counters() const { return mCounters; }
   dispatcher& Dispatcher() { return mDispatcher; }
   job_table& Jobs() { return mJobs; }
 
-  // Workers that may hold records, for the shard's roster row; the version
-  // grows with every change of the list.
+  // Workers that may hold records, for the shard's roster row. The version
+  // grows whenever a worker is added or removed.
   std::vector<known_worker> Roster() const;
   uint64_t RosterVersion() const { return mRosterVersion; }
-  // The roster row of aVersion is stored, or cannot be stored at present:
-  // workers in it may be given work.
+  // The roster of aVersion is stored, or cannot be stored at present: the
+  // workers in it may get tasks.
   void OnRosterStored(uint64_t aVersion);
-  // The stored roster could be read only after the claim: it replaces the
-  // placeholder for workers that nobody could name.
+  // The stored roster was read after the claim. It replaces kUnlistedWorker.
   void OnRosterRead(const std::vector<known_worker>& aListed, instant aNow);
 
   struct worker_status
@@ -251,47 +264,52 @@
   struct worker_row
   {
     peer_identity mIdentity;
-    peer_id mPeer = 0; // 0: no link at present
-    uint32_t mHandle = 0;
-    worker_traits mTraits;
+    peer_id mPeer = 0;     // 0: no link at present
+    uint32_t mHandle = 0;  // of the dispatcher
+    worker_traits mTraits; // only valid if mStateKnown
     bool mStateKnown = false;
-    bool mLeased = false;
-    bool mRecordsIn = false;
+    bool mLeased = false;    // by the last reply; mLeaseEnd may have passed
+    bool mRecordsIn = false; // all its records have been received
     bool mDraining = false;
     uint64_t mRosterVersion = 0; // the first that lists it
-    // Of a clean stop under way: the guards that were sent copies of its
-    // records, and the sequence whose confirmation shows that they have them.
+    // While its drain waits for copies of its records (mStopping): the guards
+    // that were sent them, and the sequence number whose confirmation shows
+    // that they have them.
     std::map<std::string, uint64_t> mAwaitedCopies;
     bool mStopping = false;
-    instant mLeaseEnd{};
-    instant mLastRequest{};
-    instant mLastHeard{};
-    instant mLinkDownSince{};
-    instant mBackOffUntil{};
-    uint64_t mSequence = 0;
-    std::deque<sent_sequence> mSent;
+    instant mLeaseEnd{};      // 0: no lease
+    instant mLastRequest{};   // for a lease
+    instant mLastHeard{};     // last message or connection
+    instant mLinkDownSince{}; // only valid if there is no link
+    instant mBackOffUntil{};  // gets no tasks until then
+    uint64_t mSequence = 0;   // of the last message that renews the lease
+    std::deque<sent_sequence> mSent; // not yet confirmed
     std::unordered_map<task_ref, in_flight_task, task_ref_hash, task_ref_equal>
       mInFlight;
-    // Started by an earlier owner and still running.
+    // Tasks that an earlier owner started and that still run; they occupy
+    // slots.
     std::unordered_map<task_ref, bool, task_ref_hash, task_ref_equal> mAdopted;
-    // Started by an earlier owner for jobs that were submitted again here.
+    // Tasks that an earlier owner started, of jobs that were submitted again
+    // here; their results are awaited.
     std::unordered_map<task_ref, job_handle, task_ref_hash, task_ref_equal>
       mRestored;
-    std::vector<wire::dispatch_item_msg> mBatch;
+    std::vector<wire::dispatch_item_msg> mBatch; // dispatches to send
     instant mBatchSince{};
-    bool mBatchUrgent = false;
-    std::vector<task_ref> mAcks;
+    bool mBatchUrgent = false;   // does not wait for mDispatchLinger
+    std::vector<task_ref> mAcks; // acknowledgements to send
     instant mAcksSince{};
   };
 
+  // A task that an earlier owner started, by its record.
   struct recovered_task
   {
     uint32_t mIndex;
     record_state mState;
     bool mHasResult;
-    std::string mWorker; // empty: gone
+    std::string mWorker; // empty: lost, or removed after its drain
   };
 
+  // A submission of an unknown job that waits for missing records.
   struct held_submission
   {
     submission mSubmission;
@@ -310,7 +328,7 @@
   void RemoveWorker(const std::string& aName);
   void OnCleanStop(worker_row& aRow, instant aNow);
   void FinishCleanStop(const std::string& aName, bool aKept, instant aNow);
-  // The guard called aCopier confirmed aSequence, or (0) will not.
+  // The guard named aCopier confirmed aSequence, or (0) its link is down.
   void OnCopyConfirmed(const std::string& aCopier,
                        uint64_t aSequence,
                        instant aNow);
@@ -344,7 +362,7 @@
   void CheckSatisfiable(uint32_t aLane, instant aNow);
   bool RestoreTasks(job_handle aJob, instant aNow);
   void RestoreTask(job_handle aJob, const recovered_task& aTask, instant aNow);
-  // The job's tasks that an earlier owner started on aRow's worker.
+  // The job's tasks in aRow.mRestored.
   static std::vector<task_ref> RestoredOf(const worker_row& aRow,
                                           job_handle aJob);
   void FetchRestored(job_handle aJob);
@@ -354,7 +372,8 @@
   void MakeRoom(uint32_t aLane, uint32_t aTeam, uint32_t aCount, instant aNow);
   void AnswerFrom(const job_row& aRow, const waiter& aWaiter);
   void Refuse(const waiter& aWaiter, const failure& aError);
-  // A team finds its own jobs only, even with another's identity in hand.
+  // Finds a job of aTeam. A team cannot find jobs of other teams, even if it
+  // has their identity.
   bool FindOf(const std::string& aTeam,
               const job_id& aId,
               job_handle* aOut) const;
@@ -362,7 +381,7 @@
 
   void ReleaseHeld(instant aNow);
   void AddInDoubt(const job_id& aId, instant aNow);
-  // Whether aId was refused as in doubt and that doubt was never resolved.
+  // Whether aId was refused as in doubt and can no longer be resolved.
   bool IsInDoubt(const job_id& aId) const;
   void FailInDoubt(job_handle aJob, instant aNow);
   void NoteAbandoned(const job_row& aRow);
@@ -398,35 +417,48 @@
   std::map<std::string, worker_row> mWorkers;
   std::unordered_map<uint32_t, std::string> mWorkerByHandle;
   std::unordered_map<peer_id, std::string> mWorkerByPeer;
-  // Names of workers with dispatches or acknowledgements to send: a tick
-  // costs by what changed, not by how many workers there are.
+  // Names of workers with dispatches or acknowledgements to send, so that the
+  // cost of a tick grows with the changes and not with the number of workers.
   std::set<std::string> mUnsent;
-  // What workers that are absent could do, so that a job for them waits.
+  // Traits of workers that are not connected, and when they last were. A job
+  // that needs such a worker waits for it.
   std::map<std::string, std::pair<worker_traits, instant>> mAbsent;
-  // At the claim, and those of them that have not reported yet.
+  // Workers that may hold records, as known at the claim.
   std::vector<known_worker> mInitialKnown;
+  // Those whose records are still awaited.
   std::vector<known_worker> mMissing;
-  std::vector<known_worker> mLostWorkers; // lost under this owner
-  bool mEverLeased = false;
+  // Workers that were lost, or drained without copies of their records, within
+  // the retention time.
+  std::vector<known_worker> mLostWorkers;
+  bool mEverLeased = false; // some guard has granted this owner a lease
   bool mSuperseded = false;
-  bool mInDoubtReported = false;
-  // Keys that were refused as in doubt, and when last. If the missing workers
-  // report, they are forgotten; if the workers are given up, these keys can
-  // never be told from started ones and are answered as unknown.
+  bool mInDoubtReported = false; // by the event shard_in_doubt
+  // Jobs that were refused as in doubt, and when last. They are removed when
+  // all missing workers have reported. When a missing worker's retention ends
+  // before it reports (mInDoubtExpired), nobody can tell any more whether
+  // these jobs were started, and their queued tasks fail with an unknown run
+  // state.
   std::unordered_map<job_id, instant, job_id_hash> mInDoubt;
   bool mInDoubtExpired = false;
+  // Records of earlier owners' tasks whose jobs were not submitted here yet.
   std::unordered_map<job_id, std::vector<recovered_task>, job_id_hash>
     mRecovered;
+  // Undecided jobs handed over by the previous owner, with the results of
+  // their finished tasks.
   std::unordered_map<job_id, wire::decided_job_msg, job_id_hash> mInherited;
   std::deque<held_submission> mHeld;
+  // Job and token of each waiter, by the time when it is answered at the
+  // latest. An entry may remain after its waiter was answered.
   std::multimap<instant, std::pair<job_handle, uint64_t>> mWaiterEnds;
-  // Decided with tasks that never started; told to two guards with the next
-  // tick.
+  // Jobs that were decided with tasks that did not run. Two guards record them
+  // with the next tick.
   std::vector<task_ref> mAbandoned;
-  std::vector<job_handle> mUnsatisfiable; // waiting to be told so
+  // Jobs for which no known worker exists, to be failed if there is still none
+  // after mDiscovery.
+  std::vector<job_handle> mUnsatisfiable;
   uint64_t mRosterVersion = 1;
-  uint64_t mStoredRoster = 0;
-  instant mNextKeep{};
+  uint64_t mStoredRoster = 0; // the newest stored version
+  instant mNextKeep{};        // when Tick checks workers and retention next
   owner_counters mCounters;
 };
 
--- a/cactusmast/shard_owner_accept.cc
+++ b/cactusmast/shard_owner_accept.cc
@@ -1,4 +1,4 @@
-// What callers ask of shard_owner: acceptance of jobs, new ones and those of
+// Requests of callers to shard_owner: submissions of new jobs and of jobs of
 // earlier owners, watching and cancelling.
 
 #include <algorithm>
@@ -69,10 +69,10 @@
       Submit(std::move(held.mSubmission), held.mWaiter, aNow);
       continue;
     }
-    // An earlier owner may have accepted this key and started its tasks on a
+    // An earlier owner may have accepted this job and started its tasks on a
     // worker that cannot be asked. Starting them again could run them twice.
     AddInDoubt(held.mSubmission.mId, aNow);
-    // The worker may return at any moment, so the caller is asked back soon.
+    // The worker may return at any moment, so the caller may retry soon.
     auto spread = milliseconds(
       int64_t(double(kDoubtRetry.count()) * mRandom.NextUniform()));
     Refuse(held.mWaiter,
@@ -91,7 +91,7 @@
 {
   constexpr size_t kMaxDoubtful = 100000;
   if (mInDoubt.size() >= kMaxDoubtful) {
-    // Make room by dropping those that nobody asked for in a retention time.
+    // Removes the jobs that were not submitted again for the retention time.
     for (auto entry = mInDoubt.begin(); entry != mInDoubt.end();) {
       bool old = entry->second + mOptions.mJobs.mRetention <= aNow;
       entry = old ? mInDoubt.erase(entry) : std::next(entry);
@@ -106,8 +106,9 @@
   return mInDoubtExpired && mInDoubt.count(aId) > 0;
 }
 
-// The workers that could have told are gone for good. What is not known from
-// other records may have started there, and must not start again.
+// The workers whose records could have resolved the doubt are lost. A task
+// without a record on another worker may have started there and must not start
+// again.
 void
 shard_owner::FailInDoubt(job_handle aJob, instant aNow)
 {
@@ -207,7 +208,7 @@
     mCounters.mJobsAccepted++;
     AddWaiter(job, aWaiter);
     if (recovered && RestoreTasks(job, aNow)) {
-      return; // nothing is left to start or to wait for
+      return; // all tasks have finished
     }
     if (doubtful) {
       FailInDoubt(job, aNow);
@@ -221,7 +222,7 @@
       mUnsatisfiable.push_back(job);
     }
   } catch (const failure& error) {
-    // Of a job that an earlier owner held, some tasks may have run.
+    // Some tasks of a job that an earlier owner accepted may have run.
     run_state run = recovered ? run_state::Unknown : error.RunState();
     Refuse(aWaiter,
            failure(error.Code(),
@@ -250,8 +251,8 @@
   }
 }
 
-// Fills in what is known of the job's earlier submission. True when that
-// decided the job.
+// Restores the tasks that are known from an earlier submission of the job.
+// True when that decided the job.
 bool
 shard_owner::RestoreTasks(job_handle aJob, instant aNow)
 {
@@ -320,9 +321,9 @@
   return refs;
 }
 
-// Asks the guards for the results of the job's restored tasks. A result may
-// have come before the job did, and was not kept then; the guard sends it
-// again, or when the task ends.
+// Asks the guards for the results of the job's restored tasks. A result that
+// came before the job was submitted here was not stored. The guard sends it
+// again, or sends it when the task ends.
 void
 shard_owner::FetchRestored(job_handle aJob)
 {
@@ -393,7 +394,7 @@
     return;
   }
   if (aNow - mClaimedAt < mOptions.mHold) {
-    // The previous owner may be about to submit it here.
+    // The previous owner may be about to submit the job here.
     Refuse(aWaiter,
            failure(error_code::Unavailable, kRouteStep, "", "just claimed"));
     return;
@@ -424,7 +425,7 @@
   if (mJobs.At(job).mState != job_state::Running) {
     return;
   }
-  // Only what was dispatched costs a message, one for each worker.
+  // Only dispatched tasks need messages, one to each worker.
   for (auto& [name, row] : mWorkers) {
     wire::cancel_tasks_msg cancel;
     for (const auto& [ref, flown] : row.mInFlight) {
--- a/cactusmast/shard_owner_jobs.cc
+++ b/cactusmast/shard_owner_jobs.cc
@@ -1,4 +1,4 @@
-// Dispatch and results in shard_owner, and the answers that they decide.
+// Dispatches, results and the answers to callers in shard_owner.
 
 #include <algorithm>
 
@@ -10,8 +10,8 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kRefusedBackOff{ 200 };
-// A task is not sent to a worker on which half of its expected run time is
-// already more than what is left before the deadline.
+// A task is infeasible, and not dispatched, if half of its expected run time on
+// the worker is more than the time left until its deadline.
 constexpr int kHopelessDivisor = 2;
 
 wire::task_result_msg
@@ -202,13 +202,15 @@
     aRow.mLeased = false;
     aRow.mLeaseEnd = {};
   } else if (reason != task_reason::Tombstone) {
-    // What the guard is short of does not come back within a round trip.
+    // The guard stays short of slots or of its budgets for longer than a round
+    // trip.
     aRow.mBackOffUntil = aNow + kRefusedBackOff;
   }
   Requeue(back, aResult.ref.index(), reason != task_reason::Tombstone, aNow);
 }
 
-// Dispatches a task again that certainly did not start.
+// Queues a task again that certainly did not start. With aCounted this uses
+// one of its retries.
 void
 shard_owner::Requeue(const in_flight_task& aFlight,
                      uint32_t aIndex,
@@ -365,8 +367,8 @@
   for (job_handle job : mJobs.TakeOverdue(aNow)) {
     job_row& row = mJobs.At(job);
     if (aNow < row.mDeadline + mOptions.mDeadlineGrace) {
-      // What runs is cut off by its guard at the same time; its results are
-      // about to arrive and say for certain how each task ended.
+      // The guards stop the running tasks at the same time. Their results,
+      // which are about to arrive, tell for certain how each task ended.
       instant deadline = row.mDeadline;
       FinishQueued(job, task_reason::TimedOut, aNow);
       mJobs.WatchDeadline(job, deadline + mOptions.mDeadlineGrace);
--- a/cactusmast/shard_owner_records.cc
+++ b/cactusmast/shard_owner_records.cc
@@ -1,5 +1,6 @@
-// Start records in shard_owner: who may hold them, what they tell a new owner,
-// and what is passed on when a guard or this owner stops.
+// Start records in shard_owner: which workers may hold them, what a new owner
+// restores from them, and what is passed on when a guard drains or this owner
+// steps down.
 
 #include <algorithm>
 #include <string>
@@ -11,8 +12,10 @@
 
 using std::chrono::milliseconds;
 
+// Jobs and tasks in one part of a handover.
 constexpr size_t kHandoverTasks = 5000;
-// Guards that keep a record that concerns no start of their own.
+// Number of guards that get a copy of a record of a start elsewhere, or of an
+// abandoned job.
 constexpr uint32_t kCopies = 2;
 
 } // namespace
@@ -63,8 +66,9 @@
   CheckComplete(aNow);
 }
 
-// A record of a task that stands as queued here: the job came to this owner
-// before the record did. True when the job is present.
+// Handles the record of a task whose job was submitted here before the record
+// came. A task that is queued here is restored from it. False when the job is
+// not present.
 bool
 shard_owner::MergeRecord(const wire::record_summary& aRecord,
                          const worker_row& aFrom,
@@ -89,11 +93,10 @@
   return true;
 }
 
-// A guard that stops as planned has no running tasks, and its results are
-// here. Its start records must outlive it, though: if this process fails
-// before their retention ends, the next owner would find no trace of those
-// starts. So other guards keep them from now on, and report them with their
-// own.
+// A guard that drains has no running tasks, and its results have been
+// received. Its start records must outlive it, because if this process fails
+// before their retention ends, the next owner would not find those starts. So
+// other guards store copies and report them with their own records.
 void
 shard_owner::PassRecordsOn(const worker_row& aFrom,
                            const wire::records_msg& aRecords)
@@ -131,9 +134,10 @@
   }
 }
 
-// An answer with tasks that did not run must stay true: were this owner lost
-// and the job submitted again, the next one would find no record of them and
-// start them. One message for any number of jobs keeps that from happening.
+// An answer that says that tasks did not run must remain true. If this owner
+// were lost and the job submitted again, the next owner would find no record
+// of these tasks and start them. So guards record such jobs; one message
+// covers any number of them.
 void
 shard_owner::SendAbandoned()
 {
@@ -173,7 +177,7 @@
   aRow.mStopping = true;
   aRow.mAwaitedCopies.clear();
   for (const std::string& copier : Copiers(aRow)) {
-    // Confirming this request, which follows the records on the same link,
+    // This request follows the records on the same link, so its confirmation
     // confirms them as well.
     worker_row& keeper = mWorkers[copier];
     RequestLease(keeper, aNow);
@@ -223,8 +227,8 @@
   release.records_kept = aKept;
   mNetwork.Send(row.mPeer, MakeMessage(std::move(release)));
   if (!aKept) {
-    // It was the only one: should this owner fail, nobody can tell what ran
-    // there, and the next owner must know that.
+    // No other guard has the records. If this owner fails, nobody can tell what
+    // ran there, and the next owner must know that.
     mLostWorkers.push_back({ aName, row.mIdentity.mIncarnation, aNow });
   }
   ForgetRecordsAt(aName);
@@ -337,11 +341,12 @@
     return;
   }
   if (aPart.epoch + 1 != mEpoch || mEverLeased) {
-    // The sender is not this owner's predecessor: it was stopped for a while,
-    // and does not know what was started by those who came in between.
+    // The sender is not the direct predecessor of this owner: it was paused,
+    // and does not know what the owners in between started.
     return;
   }
-  // The previous owner knew all starts; only what it lists is still missing.
+  // The previous owner knew all starts, so only the workers that it lists as
+  // needed are missing.
   mMissing.clear();
   for (const wire::listed_worker_msg& listed : aPart.workers) {
     known_worker worker{ listed.name,
@@ -424,7 +429,8 @@
     }
   }
   for (const auto& [name, row] : mWorkers) {
-    // Nobody can be asked about these at present: they count as started.
+    // A worker without a link cannot be asked about these, so they count as
+    // started.
     for (const auto& [ref, flown] : row.mInFlight) {
       if (row.mPeer == 0) {
         part.starts.emplace_back(ref, uint8_t(record_state::Running), false);
