--- a/cactusmast/dispatcher.cc
+++ b/cactusmast/dispatcher.cc
@@ -12,16 +12,16 @@
 
 // A running task is expected to take at least this share of its mean run time
 // from now, however long it has run, because run times vary about their mean.
-constexpr double kLeastRest = 0.4;
+constexpr double kMinRemainingShare = 0.4;
 // A task waits for a faster slot only while more than this share of the usable
 // slots is free, and only if it then finishes within this fraction of the time
 // that it would take on a free slot.
-constexpr double kHoldFreeShare = 0.1;
-constexpr double kHoldGain = 0.9;
+constexpr double kMinFreeShareToWait = 0.1;
+constexpr double kMaxWaitFinishRatio = 0.9;
 // A group that has waited for half of its deadline goes before all that have
 // not, so that no priority starves another until its deadline.
-constexpr double kOverdueShare = 2;
-constexpr double kOverdueWeight = 1e6;
+constexpr double kAgedWaitFactor = 2;
+constexpr double kAgedPriorityFactor = 1e6;
 constexpr milliseconds kMinRetryAfter{ 50 };
 
 double
@@ -31,7 +31,7 @@
 }
 
 milliseconds
-SpreadRetry(duration aExcess, double aRandom)
+JitteredRetryAfter(duration aExcess, double aRandom)
 {
   auto base = std::chrono::duration_cast<milliseconds>(aExcess);
   auto spread = milliseconds(int64_t(double(base.count()) * aRandom));
@@ -59,7 +59,7 @@
 }
 
 void
-dispatcher::RefreshEligible(lane_row& aLane, uint32_t aWorker)
+dispatcher::UpdateEligible(lane_row& aLane, uint32_t aWorker)
 {
   if (aWorker >= aLane.mEligible.size()) {
     aLane.mEligible.resize(aWorker + 1);
@@ -81,7 +81,7 @@
   }
   mLanes[lane].mProfile = aProfile;
   for (uint32_t worker = 0; worker < mWorkers.size(); worker++) {
-    RefreshEligible(mLanes[lane], worker);
+    UpdateEligible(mLanes[lane], worker);
     mWorkers[worker].mRunningByLane.resize(mLanes.size());
   }
   return lane;
@@ -125,14 +125,15 @@
 dispatcher::UpdateWorker(uint32_t aWorker, const worker_traits& aTraits)
 {
   mPlanValid = false;
-  bool returns = mWorkers[aWorker].mTraits.mSlots == 0 && aTraits.mSlots > 0;
+  bool regainsSlots =
+    mWorkers[aWorker].mTraits.mSlots == 0 && aTraits.mSlots > 0;
   mWorkers[aWorker].mTraits = aTraits;
-  if (returns) {
+  if (regainsSlots) {
     // The backend server behind the guard may be another one than before.
     mHealth.Reset(aWorker);
   }
   for (lane_row& lane : mLanes) {
-    RefreshEligible(lane, aWorker);
+    UpdateEligible(lane, aWorker);
   }
 }
 
@@ -154,7 +155,7 @@
   row = worker_row();
   mHealth.Remove(aWorker);
   for (lane_row& lane : mLanes) {
-    RefreshEligible(lane, aWorker);
+    UpdateEligible(lane, aWorker);
   }
 }
 
@@ -166,7 +167,7 @@
 }
 
 void
-dispatcher::Capacity(uint32_t aLane, double* aSlots, duration* aRun) const
+dispatcher::LaneCapacity(uint32_t aLane, double* aSlots, duration* aRun) const
 {
   const lane_row& lane = mLanes[aLane];
   double slots = 0;
@@ -195,14 +196,14 @@
   const profile& limits = mLanes[aLane].mProfile;
   double slots = 0;
   duration run{};
-  Capacity(aLane, &slots, &run);
+  LaneCapacity(aLane, &slots, &run);
   auto refuse = [&](const std::string& aText, duration aExcess) {
     throw failure(error_code::Overloaded,
                   "admit",
                   "",
                   aText,
                   run_state::NotRun,
-                  SpreadRetry(aExcess, aRandom));
+                  JitteredRetryAfter(aExcess, aRandom));
   };
   if (mQueue.Queued(aLane) + aCount > limits.mQueueLimit) {
     refuse("the queue of profile " + limits.mName + " is full", run);
@@ -223,7 +224,7 @@
     if (queued > 0) {
       double ownSlots = 0;
       duration ownRun{};
-      Capacity(lane, &ownSlots, &ownRun);
+      LaneCapacity(lane, &ownSlots, &ownRun);
       backlog += queued * Seconds(ownRun);
     }
   }
@@ -241,21 +242,22 @@
 dispatcher::ShedFor(uint32_t aLane, uint32_t aTeam, uint32_t aCount) const
 {
   std::vector<job_handle> victims;
-  const profile& newcomer = mLanes[aLane].mProfile;
-  if (newcomer.mShedding != shedding_order::LowestPriority) {
+  const profile& newProfile = mLanes[aLane].mProfile;
+  if (newProfile.mShedding != shedding_order::LowestPriority) {
     return victims;
   }
-  std::vector<uint32_t> lower;
+  std::vector<uint32_t> lowerLanes;
   for (uint32_t lane = 0; lane < mLanes.size(); lane++) {
-    if (mLanes[lane].mProfile.mPriority < newcomer.mPriority) {
-      lower.push_back(lane);
+    if (mLanes[lane].mProfile.mPriority < newProfile.mPriority) {
+      lowerLanes.push_back(lane);
     }
   }
-  std::sort(lower.begin(), lower.end(), [this](uint32_t aOne, uint32_t aTwo) {
-    return mLanes[aOne].mProfile.mPriority < mLanes[aTwo].mProfile.mPriority;
-  });
+  std::sort(
+    lowerLanes.begin(), lowerLanes.end(), [this](uint32_t aOne, uint32_t aTwo) {
+      return mLanes[aOne].mProfile.mPriority < mLanes[aTwo].mProfile.mPriority;
+    });
   uint32_t freed = 0;
-  for (uint32_t lane : lower) {
+  for (uint32_t lane : lowerLanes) {
     mQueue.VisitJobs(lane, aTeam, [&](job_handle aJob) {
       if (freed >= aCount) {
         return false;
@@ -283,14 +285,14 @@
 }
 
 bool
-dispatcher::Capped(uint32_t aLane) const
+dispatcher::IsAtConcurrencyLimit(uint32_t aLane) const
 {
   uint32_t limit = mLanes[aLane].mProfile.mConcurrency;
   return limit > 0 && mLanes[aLane].mRunning >= limit;
 }
 
 void
-dispatcher::PlanWorker(uint32_t aWorker, instant aNow)
+dispatcher::AddWorkerToPlan(uint32_t aWorker, instant aNow)
 {
   const worker_row& row = mWorkers[aWorker];
   if (!row.mPresent || !row.mAccepting) {
@@ -302,21 +304,23 @@
   }
   mUsableSlots += limit;
   uint32_t excess = row.mRunning > limit ? row.mRunning - limit : 0;
-  std::vector<double> rests;
+  std::vector<double> remainingTimes;
   for (const running_task& task : row.mTasks) {
     double expected = Seconds(mEstimator.Expected(task.mLane, aWorker));
-    double rest = expected - Seconds(aNow - task.mStarted);
-    rests.push_back(std::max(rest, expected * kLeastRest));
+    double remaining = expected - Seconds(aNow - task.mStarted);
+    remainingTimes.push_back(
+      std::max(remaining, expected * kMinRemainingShare));
   }
   // Of tasks that an earlier owner started only the number is known.
-  rests.resize(row.mRunning, Seconds(run_time_estimator::kInitialRun));
+  remainingTimes.resize(row.mRunning, Seconds(run_time_estimator::kInitialRun));
   if (excess > 0) {
     // A slot above the limit is not used again when it becomes free.
-    std::sort(rests.begin(), rests.end());
-    rests.erase(rests.begin(), rests.begin() + excess);
+    std::sort(remainingTimes.begin(), remainingTimes.end());
+    remainingTimes.erase(remainingTimes.begin(),
+                         remainingTimes.begin() + excess);
   }
-  for (double rest : rests) {
-    mPlan.AddSlot(aWorker, rest);
+  for (double remaining : remainingTimes) {
+    mPlan.AddSlot(aWorker, remaining);
   }
   for (uint32_t i = row.mRunning; i < limit; i++) {
     mPlan.AddSlot(aWorker, 0);
@@ -330,17 +334,17 @@
   mPlan.Clear(mWorkers.size());
   mFreeSlots = 0;
   mUsableSlots = 0;
-  mPlanned = 0;
+  mPlannedTasks = 0;
   for (uint32_t worker = 0; worker < mWorkers.size(); worker++) {
-    PlanWorker(worker, aNow);
+    AddWorkerToPlan(worker, aNow);
   }
   if (mFreeSlots == 0) {
     return false;
   }
   mQueue.Groups(&mGroups);
-  mTeamTimes.assign(mTeams.size(), 0);
+  mPlannedTeamTimes.assign(mTeams.size(), 0);
   for (uint32_t i = 0; i < mTeams.size(); i++) {
-    mTeamTimes[i] = mQueue.VirtualTime(i);
+    mPlannedTeamTimes[i] = mQueue.VirtualTime(i);
   }
   mPlanTime = aNow;
   mPlanValid = true;
@@ -351,11 +355,11 @@
 dispatcher::Score(const task_queue::group& aGroup, instant aNow) const
 {
   double expected = std::max(1e-4, Seconds(mEstimator.Mean(aGroup.mLane)));
-  double waited = Seconds(aNow - aGroup.mSince);
-  const profile& rules = mLanes[aGroup.mLane].mProfile;
-  double priority = std::exp2(rules.mPriority);
-  if (waited * kOverdueShare > rules.mDeadlineMs / 1000.0) {
-    priority *= kOverdueWeight;
+  double waited = Seconds(aNow - aGroup.mWaitingSince);
+  const profile& laneProfile = mLanes[aGroup.mLane].mProfile;
+  double priority = std::exp2(laneProfile.mPriority);
+  if (waited * kAgedWaitFactor > laneProfile.mDeadlineMs / 1000.0) {
+    priority *= kAgedPriorityFactor;
   }
   return priority * (waited + expected) / (expected * expected);
 }
@@ -363,25 +367,26 @@
 bool
 dispatcher::NextGroup(instant aNow, size_t* aIndex)
 {
-  double least = std::numeric_limits<double>::infinity();
-  for (const task_queue::group& one : mGroups) {
-    if (one.mQueued > 0) {
-      least = std::min(least, mTeamTimes[one.mTeam]);
+  double minTime = std::numeric_limits<double>::infinity();
+  for (const task_queue::group& candidate : mGroups) {
+    if (candidate.mQueued > 0) {
+      minTime = std::min(minTime, mPlannedTeamTimes[candidate.mTeam]);
     }
   }
   bool found = false;
-  double best = 0;
+  double bestScore = 0;
   for (size_t i = 0; i < mGroups.size(); i++) {
-    const task_queue::group& one = mGroups[i];
-    double ahead = (mTeamTimes[one.mTeam] - least) * mQueue.Quota(one.mTeam);
-    bool level = ahead <= mOptions.mTeamSlack * mUsableSlots;
-    if (one.mQueued == 0 || !level) {
+    const task_queue::group& candidate = mGroups[i];
+    double ahead = (mPlannedTeamTimes[candidate.mTeam] - minTime) *
+                   mQueue.Quota(candidate.mTeam);
+    bool isLevel = ahead <= mOptions.mTeamSlack * mUsableSlots;
+    if (candidate.mQueued == 0 || !isLevel) {
       continue;
     }
-    double score = Score(one, aNow);
-    if (!found || score > best) {
+    double score = Score(candidate, aNow);
+    if (!found || score > bestScore) {
       found = true;
-      best = score;
+      bestScore = score;
       *aIndex = i;
     }
   }
@@ -402,13 +407,13 @@
       continue;
     }
     const worker_row& row = mWorkers[worker];
-    bool full = laneLimit > 0 && row.mRunningByLane[aLane] >= laneLimit;
-    double free = mPlan.FirstFree(worker);
-    if (full || (aFreeOnly && free > 0)) {
+    bool isFull = laneLimit > 0 && row.mRunningByLane[aLane] >= laneLimit;
+    double freeIn = mPlan.FirstFree(worker);
+    if (isFull || (aFreeOnly && freeIn > 0)) {
       continue;
     }
-    double end =
-      free + Seconds(mEstimator.Expected(aLane, worker) + row.mTraits.mLatency);
+    double end = freeIn + Seconds(mEstimator.Expected(aLane, worker) +
+                                  row.mTraits.mLatency);
     if (!found || end < *aEnd) {
       found = true;
       *aWorker = worker;
@@ -449,34 +454,35 @@
     return false;
   }
   size_t index = 0;
-  while (mFreeSlots > 0 && mPlanned < mOptions.mPlanHorizon &&
+  while (mFreeSlots > 0 && mPlannedTasks < mOptions.mMaxPlannedTasks &&
          NextGroup(aNow, &index)) {
     task_queue::group& next = mGroups[index];
     uint32_t worker = 0;
     uint32_t freeWorker = 0;
     double end = 0;
     double freeEnd = 0;
-    bool startable = !Capped(next.mLane) &&
-                     EarliestFinish(next.mLane, true, &freeWorker, &freeEnd);
-    if (Capped(next.mLane) ||
+    bool canStart = !IsAtConcurrencyLimit(next.mLane) &&
+                    EarliestFinish(next.mLane, true, &freeWorker, &freeEnd);
+    if (IsAtConcurrencyLimit(next.mLane) ||
         !EarliestFinish(next.mLane, false, &worker, &end)) {
       next.mQueued = 0; // no worker can take it; go on with other groups
       continue;
     }
-    bool patient =
-      mOptions.mHoldForFaster && mFreeSlots > mUsableSlots * kHoldFreeShare &&
-      end < freeEnd * kHoldGain && Seconds(aNow - next.mSince) < freeEnd;
-    if (startable && !patient) {
+    bool waitForFaster = mOptions.mHoldForFaster &&
+                         mFreeSlots > mUsableSlots * kMinFreeShareToWait &&
+                         end < freeEnd * kMaxWaitFinishRatio &&
+                         Seconds(aNow - next.mWaitingSince) < freeEnd;
+    if (canStart && !waitForFaster) {
       worker = freeWorker;
       end = freeEnd;
     }
-    double free = mPlan.FirstFree(worker);
-    double cost = end - free;
-    mPlan.Take(worker, cost);
-    mTeamTimes[next.mTeam] += cost / mQueue.Quota(next.mTeam);
-    mPlanned++;
+    double freeIn = mPlan.FirstFree(worker);
+    double slotTime = end - freeIn;
+    mPlan.Take(worker, slotTime);
+    mPlannedTeamTimes[next.mTeam] += slotTime / mQueue.Quota(next.mTeam);
+    mPlannedTasks++;
     next.mQueued--;
-    if (free <= 0) {
+    if (freeIn <= 0) {
       Start(next, worker, aNow, aOut);
       return true;
     }
@@ -485,7 +491,7 @@
 }
 
 void
-dispatcher::Release(uint32_t aWorker, uint32_t aLane, instant aStarted)
+dispatcher::ReleaseSlot(uint32_t aWorker, uint32_t aLane, instant aStarted)
 {
   worker_row& row = mWorkers[aWorker];
   if (row.mRunning > 0 && row.mRunningByLane[aLane] > 0) {
@@ -508,18 +514,20 @@
 }
 
 void
-dispatcher::Finished(const completion& aDone, instant aNow)
+dispatcher::Finished(const completion& aCompletion, instant aNow)
 {
   mPlanValid = false;
-  Release(aDone.mWorker, aDone.mLane, aNow - aDone.mRunTime);
-  mQueue.Charge(aDone.mTeam,
-                Seconds(aDone.mRunTime) - Seconds(aDone.mExpected));
-  if (aDone.mFailed) {
-    mHealth.RecordFailure(aDone.mWorker, aNow);
+  ReleaseSlot(
+    aCompletion.mWorker, aCompletion.mLane, aNow - aCompletion.mRunTime);
+  mQueue.Charge(aCompletion.mTeam,
+                Seconds(aCompletion.mRunTime) - Seconds(aCompletion.mExpected));
+  if (aCompletion.mFailed) {
+    mHealth.RecordFailure(aCompletion.mWorker, aNow);
     return;
   }
-  mHealth.RecordSuccess(aDone.mWorker, aNow - aDone.mRunTime);
-  mEstimator.Observe(aDone.mLane, aDone.mWorker, aDone.mRunTime);
+  mHealth.RecordSuccess(aCompletion.mWorker, aNow - aCompletion.mRunTime);
+  mEstimator.Observe(
+    aCompletion.mLane, aCompletion.mWorker, aCompletion.mRunTime);
 }
 
 void
@@ -529,7 +537,7 @@
                        duration aExpected)
 {
   mPlanValid = false;
-  Release(aWorker, aLane, instant::max() / 2);
+  ReleaseSlot(aWorker, aLane, instant::max() / 2);
   mQueue.Charge(aTeam, -Seconds(aExpected));
 }
 
@@ -537,7 +545,7 @@
 dispatcher::TakeRetry()
 {
   double allowed =
-    mOptions.mRetryFloor + mOptions.mRetryShare * double(mFirstDispatches);
+    mOptions.mMinRetryBudget + mOptions.mRetryShare * double(mFirstDispatches);
   if (double(mRetries) + 1 > allowed) {
     return false;
   }
--- a/cactusmast/dispatcher.h
+++ b/cactusmast/dispatcher.h
@@ -73,7 +73,7 @@
   // Retry budget: dispatches of refused tasks per first dispatch.
   double mRetryShare = 0.1;
   // Retries allowed in addition, so that small loads can retry at all.
-  uint32_t mRetryFloor = 10;
+  uint32_t mMinRetryBudget = 10;
   // Lets tasks wait for a faster slot. Only a benchmark switches it off, to
   // show the gain.
   bool mHoldForFaster = true;
@@ -82,7 +82,7 @@
   // second changes a team's share over ten seconds by at most one hundredth.
   double mTeamSlack = 0.05;
   // Number of queued tasks that one plan covers.
-  uint32_t mPlanHorizon = 64;
+  uint32_t mMaxPlannedTasks = 64;
 };
 
 // One task of mJob that starts on mWorker.
@@ -146,7 +146,7 @@
 
   // A started task ended: frees its slot, corrects the team's virtual time and
   // observes the run time or the failure.
-  void Finished(const completion& aDone, instant aNow);
+  void Finished(const completion& aCompletion, instant aNow);
   // The worker did not start the task: frees its slot and takes the charge of
   // the team back. Nothing is observed.
   void NotStarted(uint32_t aWorker,
@@ -223,18 +223,18 @@
     std::vector<bool> mEligible; // by worker
   };
 
-  void RefreshEligible(lane_row& aLane, uint32_t aWorker);
+  void UpdateEligible(lane_row& aLane, uint32_t aWorker);
   // Starts a new plan; false when no slot is free, so that there is nothing to
   // plan.
   bool MakePlan(instant aNow);
   // Enters the worker's usable slots into the plan: free ones for now, busy
   // ones for the expected end of their tasks.
-  void PlanWorker(uint32_t aWorker, instant aNow);
+  void AddWorkerToPlan(uint32_t aWorker, instant aNow);
   // Finds the group that is next in the plan; false when none is left.
   bool NextGroup(instant aNow, size_t* aIndex);
   double Score(const task_queue::group& aGroup, instant aNow) const;
   // Whether the lane runs as many tasks as its profile allows.
-  bool Capped(uint32_t aLane) const;
+  bool IsAtConcurrencyLimit(uint32_t aLane) const;
   // Finds the worker on which a task of aLane is expected to finish first, and
   // when (aEnd, in seconds from now); false when no worker can take it.
   // aFreeOnly considers only workers with a free slot.
@@ -246,10 +246,10 @@
              uint32_t aWorker,
              instant aNow,
              assignment* aOut);
-  void Release(uint32_t aWorker, uint32_t aLane, instant aStarted);
+  void ReleaseSlot(uint32_t aWorker, uint32_t aLane, instant aStarted);
   // Slots that the lane's tasks may use, and their mean expected run time
   // there.
-  void Capacity(uint32_t aLane, double* aSlots, duration* aRun) const;
+  void LaneCapacity(uint32_t aLane, double* aSlots, duration* aRun) const;
 
   dispatcher_options mOptions;
   task_queue mQueue;
@@ -264,8 +264,8 @@
   instant mPlanTime{};
   slot_plan mPlan;
   std::vector<task_queue::group> mGroups; // without planned tasks
-  std::vector<double> mTeamTimes;         // virtual times with planned tasks
-  uint32_t mPlanned = 0;                  // tasks in the plan
+  std::vector<double> mPlannedTeamTimes;  // virtual times with planned tasks
+  uint32_t mPlannedTasks = 0;             // tasks in the plan
   uint32_t mFreeSlots = 0;
   uint32_t mUsableSlots = 0; // free and busy ones
   uint64_t mFirstDispatches = 0;
--- a/cactusmast/job_table.cc
+++ b/cactusmast/job_table.cc
@@ -8,7 +8,7 @@
 constexpr uint64_t kBytesPerResult = sizeof(wire::task_result_msg);
 
 uint64_t
-OutputBytes(const job_row& aRow)
+ResultBytes(const job_row& aRow)
 {
   uint64_t sum = 0;
   for (const wire::task_result_msg& result : aRow.mResults) {
@@ -47,7 +47,7 @@
   row.mTasks.resize(aSubmission.mPayloads.size());
   row.mResults.resize(aSubmission.mPayloads.size());
   row.mSubmission = std::move(aSubmission);
-  mIndex[row.mSubmission.mId] = handle;
+  mHandleById[row.mSubmission.mId] = handle;
   mDeadlines.emplace(row.mDeadline, handle);
   mUndecided++;
   return handle;
@@ -66,9 +66,9 @@
   row.mTasks.resize(aJob.tasks.size(), { task_state::Finished, 0 });
   row.mFinishedTasks = uint32_t(aJob.tasks.size());
   row.mDecidedAt = aNow;
-  row.mBytes = OutputBytes(row);
-  mAnswerBytes += row.mBytes;
-  mIndex[row.mSubmission.mId] = handle;
+  row.mResultBytes = ResultBytes(row);
+  mAnswerBytes += row.mResultBytes;
+  mHandleById[row.mSubmission.mId] = handle;
   mDecidedOrder.push_back(handle);
   mOutputOrder.push_back(handle);
   TrimOutputs();
@@ -78,8 +78,8 @@
 bool
 job_table::Find(const job_id& aId, job_handle* aOut) const
 {
-  auto found = mIndex.find(aId);
-  if (found == mIndex.end()) {
+  auto found = mHandleById.find(aId);
+  if (found == mHandleById.end()) {
     return false;
   }
   *aOut = found->second;
@@ -123,9 +123,9 @@
   aRow.mState = complete ? job_state::Complete : job_state::Failed;
   aRow.mDecidedAt = aNow;
   std::vector<std::string>().swap(aRow.mSubmission.mPayloads);
-  std::vector<uint32_t>().swap(aRow.mReturned);
-  aRow.mBytes = OutputBytes(aRow);
-  mAnswerBytes += aRow.mBytes;
+  std::vector<uint32_t>().swap(aRow.mRequeued);
+  aRow.mResultBytes = ResultBytes(aRow);
+  mAnswerBytes += aRow.mResultBytes;
   mUndecided--;
   mDecidedOrder.push_back(aHandle);
   mOutputOrder.push_back(aHandle);
@@ -144,9 +144,9 @@
       continue;
     }
     job_row& row = oldest->second;
-    mAnswerBytes -= row.mBytes;
-    row.mBytes = 0;
-    row.mOutputsGone = true;
+    mAnswerBytes -= row.mResultBytes;
+    row.mResultBytes = 0;
+    row.mOutputsDropped = true;
     std::vector<wire::task_result_msg>().swap(row.mResults);
     std::vector<task_progress>().swap(row.mTasks);
   }
@@ -155,9 +155,9 @@
 bool
 job_table::TakeQueued(job_row& aRow, uint32_t* aIndex)
 {
-  while (!aRow.mReturned.empty()) {
-    uint32_t index = aRow.mReturned.back();
-    aRow.mReturned.pop_back();
+  while (!aRow.mRequeued.empty()) {
+    uint32_t index = aRow.mRequeued.back();
+    aRow.mRequeued.pop_back();
     if (aRow.mTasks[index].mState == task_state::Queued) {
       *aIndex = index;
       return true;
@@ -205,8 +205,8 @@
       if (row.mDecidedAt + mOptions.mRetention > aNow) {
         return;
       }
-      mAnswerBytes -= row.mBytes;
-      mIndex.erase(row.mSubmission.mId);
+      mAnswerBytes -= row.mResultBytes;
+      mHandleById.erase(row.mSubmission.mId);
       mRows.erase(found);
     }
     mDecidedOrder.pop_front();
--- a/cactusmast/job_table.h
+++ b/cactusmast/job_table.h
@@ -76,14 +76,14 @@
   bool mCancelled = false;
   // The results were dropped to stay within the byte budget; mTasks and
   // mResults are empty.
-  bool mOutputsGone = false;
+  bool mOutputsDropped = false;
   std::vector<task_progress> mTasks;
   std::vector<wire::task_result_msg> mResults; // by index, as mTasks
   uint32_t mFinishedTasks = 0;
   uint32_t mNextIndex = 0;         // first task that was never taken
-  std::vector<uint32_t> mReturned; // indices of tasks to dispatch again
+  std::vector<uint32_t> mRequeued; // indices of tasks to dispatch again
   std::vector<waiter> mWaiters;
-  uint64_t mBytes = 0; // of the results; 0 until decided
+  uint64_t mResultBytes = 0; // of the results; 0 until decided
 };
 
 struct job_table_options
@@ -147,7 +147,7 @@
 
   job_table_options mOptions;
   std::unordered_map<job_handle, job_row> mRows;
-  std::unordered_map<job_id, job_handle, job_id_hash> mIndex;
+  std::unordered_map<job_id, job_handle, job_id_hash> mHandleById;
   std::multimap<instant, job_handle> mDeadlines;
   // Decided jobs, the oldest first.
   std::deque<job_handle> mDecidedOrder; // for retention
--- a/cactusmast/shard_owner.cc
+++ b/cactusmast/shard_owner.cc
@@ -11,9 +11,9 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kKeepInterval{ 100 };
-constexpr milliseconds kClaimRetry{ 200 };
-constexpr uint32_t kExpirePerTick = 2000;
+constexpr milliseconds kCheckInterval{ 100 };
+constexpr milliseconds kLeaseRetryInterval{ 200 };
+constexpr uint32_t kMaxExpiredPerTick = 2000;
 
 } // namespace
 
@@ -69,7 +69,7 @@
   , mClaimedAt(aNow)
   , mDispatcher(mOptions.mDispatcher)
   , mJobs(mOptions.mJobs)
-  , mInitialKnown(aKnown)
+  , mKnownAtClaim(aKnown)
   , mMissing(aKnown)
 {
   if (!mSafeguards.mWaitForRecords) {
@@ -86,11 +86,11 @@
 shard_owner::SetConfig(const deployment_config& aConfig)
 {
   mConfig = aConfig;
-  for (const auto& [name, entry] : mConfig.mProfiles) {
-    mDispatcher.SetLane(entry);
+  for (const auto& [name, settings] : mConfig.mProfiles) {
+    mDispatcher.SetLane(settings);
   }
-  for (const auto& [name, entry] : mConfig.mTeams) {
-    mDispatcher.SetTeam(entry);
+  for (const auto& [name, settings] : mConfig.mTeams) {
+    mDispatcher.SetTeam(settings);
   }
 }
 
@@ -127,7 +127,7 @@
   row.mPeer = aPeer;
   row.mLeased = false;
   row.mLastHeard = aNow;
-  row.mSent.clear();
+  row.mUnconfirmed.clear();
   row.mLeaseEnd = {};
   mWorkerByPeer[aPeer] = aIdentity.mName;
   RequestLease(row, aNow);
@@ -145,9 +145,9 @@
   row->mLeased = false;
   row->mLeaseEnd = {};
   row->mLinkDownSince = aNow;
-  row->mStopping = false;
+  row->mReplicating = false;
   UpdateAccepting(*row, aNow);
-  OnCopyConfirmed(std::string(row->mIdentity.mName), 0, aNow);
+  OnReplicaConfirmed(std::string(row->mIdentity.mName), 0, aNow);
 }
 
 void
@@ -164,7 +164,7 @@
   row->mTraits = traits;
   row->mStateKnown = true;
   row->mDraining = aState.draining;
-  row->mBackOffUntil = {};
+  row->mBackoffUntil = {};
   mDispatcher.UpdateWorker(row->mHandle, traits);
   UpdateAccepting(*row, row->mLastHeard);
 }
@@ -173,16 +173,16 @@
 shard_owner::NextSequence(worker_row& aRow, instant aNow)
 {
   aRow.mSequence++;
-  aRow.mSent.push_back({ aRow.mSequence, aNow });
+  aRow.mUnconfirmed.push_back({ aRow.mSequence, aNow });
   constexpr size_t kMaxOutstanding = 64;
-  if (aRow.mSent.size() > kMaxOutstanding) {
+  if (aRow.mUnconfirmed.size() > kMaxOutstanding) {
     // Keeps every other one. A confirmation of one that is dropped extends the
     // lease from the time of the one before it, which is only slightly earlier.
     std::deque<sent_sequence> kept;
-    for (size_t i = 0; i < aRow.mSent.size(); i += 2) {
-      kept.push_back(aRow.mSent[i]);
+    for (size_t i = 0; i < aRow.mUnconfirmed.size(); i += 2) {
+      kept.push_back(aRow.mUnconfirmed[i]);
     }
-    aRow.mSent = std::move(kept);
+    aRow.mUnconfirmed = std::move(kept);
   }
 }
 
@@ -193,7 +193,7 @@
     return;
   }
   NextSequence(aRow, aNow);
-  aRow.mLastRequest = aNow;
+  aRow.mLastLeaseRequest = aNow;
   wire::lease_request_msg request;
   request.shard = mOptions.mShard;
   request.epoch = mEpoch;
@@ -209,9 +209,10 @@
 shard_owner::ConfirmLease(worker_row& aRow, uint64_t aSequence, instant aNow)
 {
   instant sent{};
-  while (!aRow.mSent.empty() && aRow.mSent.front().mSequence <= aSequence) {
-    sent = aRow.mSent.front().mSent;
-    aRow.mSent.pop_front();
+  while (!aRow.mUnconfirmed.empty() &&
+         aRow.mUnconfirmed.front().mSequence <= aSequence) {
+    sent = aRow.mUnconfirmed.front().mSentAt;
+    aRow.mUnconfirmed.pop_front();
   }
   if (sent.count() == 0) {
     return;
@@ -235,8 +236,8 @@
   if (!aReply.granted) {
     row->mLeased = false;
     row->mLeaseEnd = {};
-    bool another = aReply.epoch >= mEpoch;
-    if (another && mEverLeased && mSafeguards.mStepDownWhenSuperseded) {
+    bool otherOwner = aReply.epoch >= mEpoch;
+    if (otherOwner && mEverLeased && mSafeguards.mStepDownWhenSuperseded) {
       mSuperseded = true;
       UpdateAccepting(*row, aNow);
       return;
@@ -244,10 +245,10 @@
     // No guard has granted this owner a lease yet. Its epoch must be greater
     // than that of the latest owner, and it retries until the guard's present
     // lease has ended.
-    if (another && mSafeguards.mWaitForRecords) {
+    if (otherOwner && mSafeguards.mWaitForRecords) {
       // Another owner came after the one that may have handed over, so the
       // records of all workers are needed again.
-      mMissing = mInitialKnown;
+      mMissing = mKnownAtClaim;
     }
     mEpoch = std::max(mEpoch, aReply.epoch + 1);
     UpdateAccepting(*row, aNow);
@@ -264,7 +265,7 @@
     OnLeased(*row);
   }
   UpdateAccepting(*row, aNow);
-  OnCopyConfirmed(std::string(row->mIdentity.mName), aReply.sequence, aNow);
+  OnReplicaConfirmed(std::string(row->mIdentity.mName), aReply.sequence, aNow);
 }
 
 void
@@ -295,13 +296,13 @@
   if (aRow.mInFlight.empty() || !mSafeguards.mSettleBeforeRetry) {
     return;
   }
-  wire::settle_msg ask;
-  ask.epoch = mEpoch;
-  for (const auto& [ref, flown] : aRow.mInFlight) {
-    ask.refs.push_back(ref);
+  wire::settle_msg query;
+  query.epoch = mEpoch;
+  for (const auto& [ref, task] : aRow.mInFlight) {
+    query.refs.push_back(ref);
   }
   mCounters.mSettleMessages++;
-  mNetwork.Send(aRow.mPeer, MakeMessage(std::move(ask)));
+  mNetwork.Send(aRow.mPeer, MakeMessage(std::move(query)));
 }
 
 void
@@ -319,11 +320,11 @@
     if (found == row->mInFlight.end()) {
       continue;
     }
-    in_flight_task back = found->second;
+    in_flight_task task = found->second;
     row->mInFlight.erase(found);
     mDispatcher.NotStarted(
-      row->mHandle, back.mLane, back.mTeam, back.mExpected);
-    Requeue(back, ref.index(), false, aNow);
+      row->mHandle, task.mLane, task.mTeam, task.mExpected);
+    Requeue(task, ref.index(), false, aNow);
   }
 }
 
@@ -334,9 +335,9 @@
                { { "worker", aRow.mIdentity.mName },
                  { "incarnation", std::to_string(aRow.mIdentity.mIncarnation) },
                  { "tasks", std::to_string(aRow.mInFlight.size()) } });
-  auto flights = std::move(aRow.mInFlight);
+  auto inFlight = std::move(aRow.mInFlight);
   aRow.mInFlight.clear();
-  for (const auto& [ref, lost] : flights) {
+  for (const auto& [ref, lost] : inFlight) {
     FinishTask(lost.mJob,
                ref.index(),
                run_state::Unknown,
@@ -370,11 +371,11 @@
 void
 shard_owner::UpdateAccepting(worker_row& aRow, instant aNow)
 {
-  bool listed = mStoredRoster >= aRow.mRosterVersion;
+  bool inStoredRoster = mStoredRosterVersion >= aRow.mRosterVersion;
   bool accepting = aRow.mPeer != 0 && aRow.mLeased && aRow.mStateKnown &&
-                   aRow.mRecordsIn && listed && !aRow.mDraining &&
+                   aRow.mRecordsReceived && inStoredRoster && !aRow.mDraining &&
                    aRow.mTraits.mSlots > 0 && aNow < aRow.mLeaseEnd &&
-                   aNow >= aRow.mBackOffUntil;
+                   aNow >= aRow.mBackoffUntil;
   mDispatcher.SetAccepting(aRow.mHandle, accepting);
 }
 
@@ -396,12 +397,12 @@
     }
     // Dispatches and their results renew the lease too, so only an idle link
     // needs a request of its own.
-    bool aging =
+    bool renewalDue =
       row.mLeaseEnd - aNow < mOptions.mLease - mOptions.mRenewInterval;
-    duration pause =
-      row.mLeased ? mOptions.mRenewInterval / 2 : duration(kClaimRetry);
-    bool asked = aNow - row.mLastRequest < pause;
-    if (aging && !asked) {
+    duration interval =
+      row.mLeased ? mOptions.mRenewInterval / 2 : duration(kLeaseRetryInterval);
+    bool requestedRecently = aNow - row.mLastLeaseRequest < interval;
+    if (renewalDue && !requestedRecently) {
       RequestLease(row, aNow);
     }
     UpdateAccepting(row, aNow);
@@ -432,7 +433,7 @@
 std::vector<shard_owner::worker_status>
 shard_owner::Workers(instant aNow) const
 {
-  std::vector<worker_status> made;
+  std::vector<worker_status> statuses;
   for (const auto& [name, row] : mWorkers) {
     worker_status status;
     status.mName = name;
@@ -443,21 +444,21 @@
     status.mSlots = row.mTraits.mSlots;
     status.mRunning = mDispatcher.Running(row.mHandle);
     status.mSlowness = mDispatcher.Estimator().Slowness(0, row.mHandle);
-    made.push_back(std::move(status));
+    statuses.push_back(std::move(status));
   }
-  return made;
+  return statuses;
 }
 
 void
 shard_owner::Tick(instant aNow)
 {
-  if (aNow >= mNextKeep) {
-    mNextKeep = aNow + kKeepInterval;
+  if (aNow >= mNextCheck) {
+    mNextCheck = aNow + kCheckInterval;
     CheckWorkers(aNow);
     CheckComplete(aNow);
     ExpireWaiters(aNow);
     FailUnsatisfiable(aNow);
-    mJobs.Expire(aNow, kExpirePerTick);
+    mJobs.Expire(aNow, kMaxExpiredPerTick);
     if (aNow - mClaimedAt > mOptions.mJobs.mRetention) {
       mRecovered.clear();
       mInherited.clear();
--- a/cactusmast/shard_owner.h
+++ b/cactusmast/shard_owner.h
@@ -59,11 +59,11 @@
   duration mWorkerTimeout = std::chrono::seconds(10);
   // From the claim; submissions of unknown jobs are held this long for missing
   // records.
-  duration mHold = std::chrono::seconds(5);
-  size_t mMaxHeld = 10000;
+  duration mMaxHoldTime = std::chrono::seconds(5);
+  size_t mMaxHeldSubmissions = 10000;
   // From the claim; time for workers to connect before a job may be found
   // unsatisfiable.
-  duration mDiscovery = std::chrono::seconds(3);
+  duration mDiscoveryTime = std::chrono::seconds(3);
   // After a job's deadline, time for the last results of the guards to arrive.
   duration mDeadlineGrace = std::chrono::seconds(1);
   // Acknowledgements are sent with dispatches, and alone after this long.
@@ -258,7 +258,7 @@
   struct sent_sequence
   {
     uint64_t mSequence;
-    instant mSent;
+    instant mSentAt;
   };
 
   struct worker_row
@@ -268,22 +268,23 @@
     uint32_t mHandle = 0;  // of the dispatcher
     worker_traits mTraits; // only valid if mStateKnown
     bool mStateKnown = false;
-    bool mLeased = false;    // by the last reply; mLeaseEnd may have passed
-    bool mRecordsIn = false; // all its records have been received
+    bool mLeased = false; // by the last reply; mLeaseEnd may have passed
+    bool mRecordsReceived = false; // all its records have been received
     bool mDraining = false;
     uint64_t mRosterVersion = 0; // the first that lists it
-    // While its drain waits for copies of its records (mStopping): the guards
-    // that were sent them, and the sequence number whose confirmation shows
-    // that they have them.
-    std::map<std::string, uint64_t> mAwaitedCopies;
-    bool mStopping = false;
-    instant mLeaseEnd{};      // 0: no lease
-    instant mLastRequest{};   // for a lease
+    // While its drain waits for copies of its records (mReplicating): the
+    // guards that were sent them, and the sequence number whose confirmation
+    // shows that they have them.
+    std::map<std::string, uint64_t> mPendingReplicas;
+    bool mReplicating = false;
+    instant mLeaseEnd{}; // 0: no lease
+    instant mLastLeaseRequest{};
     instant mLastHeard{};     // last message or connection
     instant mLinkDownSince{}; // only valid if there is no link
-    instant mBackOffUntil{};  // gets no tasks until then
+    instant mBackoffUntil{};  // gets no tasks until then
     uint64_t mSequence = 0;   // of the last message that renews the lease
-    std::deque<sent_sequence> mSent; // not yet confirmed
+    // Messages that renew the lease and were not confirmed yet.
+    std::deque<sent_sequence> mUnconfirmed;
     std::unordered_map<task_ref, in_flight_task, task_ref_hash, task_ref_equal>
       mInFlight;
     // Tasks that an earlier owner started and that still run; they occupy
@@ -326,13 +327,13 @@
   void QueryInFlight(worker_row& aRow);
   void LoseWorker(worker_row& aRow, instant aNow);
   void RemoveWorker(const std::string& aName);
-  void OnCleanStop(worker_row& aRow, instant aNow);
-  void FinishCleanStop(const std::string& aName, bool aKept, instant aNow);
-  // The guard named aCopier confirmed aSequence, or (0) its link is down.
-  void OnCopyConfirmed(const std::string& aCopier,
-                       uint64_t aSequence,
-                       instant aNow);
-  std::vector<std::string> Copiers(const worker_row& aFrom) const;
+  void AwaitReplicas(worker_row& aRow, instant aNow);
+  void FinishDrain(const std::string& aName, bool aReplicated, instant aNow);
+  // The guard named aReplica confirmed aSequence, or (0) its link is down.
+  void OnReplicaConfirmed(const std::string& aReplica,
+                          uint64_t aSequence,
+                          instant aNow);
+  std::vector<std::string> ReplicaTargets(const worker_row& aFrom) const;
   void ForgetRecordsAt(const std::string& aWorker);
   void CheckComplete(instant aNow);
 
@@ -342,7 +343,7 @@
   void OnRefused(worker_row& aRow,
                  const wire::task_result_msg& aResult,
                  instant aNow);
-  void Requeue(const in_flight_task& aFlight,
+  void Requeue(const in_flight_task& aTask,
                uint32_t aIndex,
                bool aCounted,
                instant aNow);
@@ -369,14 +370,14 @@
   bool MergeRecord(const wire::record_summary& aRecord,
                    const worker_row& aFrom,
                    instant aNow);
-  void MakeRoom(uint32_t aLane, uint32_t aTeam, uint32_t aCount, instant aNow);
+  void ShedJobs(uint32_t aLane, uint32_t aTeam, uint32_t aCount, instant aNow);
   void AnswerFrom(const job_row& aRow, const waiter& aWaiter);
   void Refuse(const waiter& aWaiter, const failure& aError);
   // Finds a job of aTeam. A team cannot find jobs of other teams, even if it
   // has their identity.
-  bool FindOf(const std::string& aTeam,
-              const job_id& aId,
-              job_handle* aOut) const;
+  bool FindJobOfTeam(const std::string& aTeam,
+                     const job_id& aId,
+                     job_handle* aOut) const;
   void AddWaiter(job_handle aJob, const waiter& aWaiter);
 
   void ReleaseHeld(instant aNow);
@@ -384,7 +385,7 @@
   // Whether aId was refused as in doubt and can no longer be resolved.
   bool IsInDoubt(const job_id& aId) const;
   void FailInDoubt(job_handle aJob, instant aNow);
-  void NoteAbandoned(const job_row& aRow);
+  void AddAbandoned(const job_row& aRow);
   void SendAbandoned();
   void ExpireWaiters(instant aNow);
   void ExpireDeadlines(instant aNow);
@@ -399,9 +400,9 @@
   void FlushUnsent(instant aNow);
   void AddAck(worker_row& aRow, const task_ref& aRef, instant aNow);
   void HandOver(peer_id aSuccessor, instant aNow);
-  void ListWorkers(wire::handover_msg* aPart, instant aNow) const;
-  void PassRecordsOn(const worker_row& aFrom,
-                     const wire::records_msg& aRecords);
+  void AddWorkerList(wire::handover_msg* aPart, instant aNow) const;
+  void ReplicateRecords(const worker_row& aFrom,
+                        const wire::records_msg& aRecords);
 
   owner_options mOptions;
   uint64_t mEpoch;
@@ -424,7 +425,7 @@
   // that needs such a worker waits for it.
   std::map<std::string, std::pair<worker_traits, instant>> mAbsent;
   // Workers that may hold records, as known at the claim.
-  std::vector<known_worker> mInitialKnown;
+  std::vector<known_worker> mKnownAtClaim;
   // Those whose records are still awaited.
   std::vector<known_worker> mMissing;
   // Workers that were lost, or drained without copies of their records, within
@@ -449,16 +450,16 @@
   std::deque<held_submission> mHeld;
   // Job and token of each waiter, by the time when it is answered at the
   // latest. An entry may remain after its waiter was answered.
-  std::multimap<instant, std::pair<job_handle, uint64_t>> mWaiterEnds;
+  std::multimap<instant, std::pair<job_handle, uint64_t>> mWaiterTimeouts;
   // Jobs that were decided with tasks that did not run. Two guards record them
   // with the next tick.
   std::vector<task_ref> mAbandoned;
   // Jobs for which no known worker exists, to be failed if there is still none
-  // after mDiscovery.
+  // after mDiscoveryTime.
   std::vector<job_handle> mUnsatisfiable;
   uint64_t mRosterVersion = 1;
-  uint64_t mStoredRoster = 0; // the newest stored version
-  instant mNextKeep{};        // when Tick checks workers and retention next
+  uint64_t mStoredRosterVersion = 0; // the newest stored version
+  instant mNextCheck{}; // when Tick checks workers and retention next
   owner_counters mCounters;
 };
 
--- a/cactusmast/shard_owner_accept.cc
+++ b/cactusmast/shard_owner_accept.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kDoubtRetry{ 1500 };
+constexpr milliseconds kInDoubtRetryAfter{ 1500 };
 
 } // namespace
 
@@ -37,7 +37,7 @@
     return;
   }
   if (!Complete()) {
-    if (mHeld.size() >= mOptions.mMaxHeld) {
+    if (mHeld.size() >= mOptions.mMaxHeldSubmissions) {
       Refuse(aWaiter,
              failure(error_code::Overloaded,
                      "accept",
@@ -47,7 +47,7 @@
                      std::chrono::seconds(2)));
       return;
     }
-    instant until = std::max(aNow, mClaimedAt + mOptions.mHold);
+    instant until = std::max(aNow, mClaimedAt + mOptions.mMaxHoldTime);
     mHeld.push_back({ std::move(aSubmission), aWaiter, until });
     return;
   }
@@ -74,7 +74,7 @@
     AddInDoubt(held.mSubmission.mId, aNow);
     // The worker may return at any moment, so the caller may retry soon.
     auto spread = milliseconds(
-      int64_t(double(kDoubtRetry.count()) * mRandom.NextUniform()));
+      int64_t(double(kInDoubtRetryAfter.count()) * mRandom.NextUniform()));
     Refuse(held.mWaiter,
            failure(error_code::InDoubt,
                    "accept",
@@ -82,19 +82,19 @@
                    "an earlier submission under this key may have started on "
                    "a worker that does not answer",
                    run_state::Unknown,
-                   kDoubtRetry + spread));
+                   kInDoubtRetryAfter + spread));
   }
 }
 
 void
 shard_owner::AddInDoubt(const job_id& aId, instant aNow)
 {
-  constexpr size_t kMaxDoubtful = 100000;
-  if (mInDoubt.size() >= kMaxDoubtful) {
+  constexpr size_t kMaxInDoubt = 100000;
+  if (mInDoubt.size() >= kMaxInDoubt) {
     // Removes the jobs that were not submitted again for the retention time.
-    for (auto entry = mInDoubt.begin(); entry != mInDoubt.end();) {
-      bool old = entry->second + mOptions.mJobs.mRetention <= aNow;
-      entry = old ? mInDoubt.erase(entry) : std::next(entry);
+    for (auto item = mInDoubt.begin(); item != mInDoubt.end();) {
+      bool isOld = item->second + mOptions.mJobs.mRetention <= aNow;
+      item = isOld ? mInDoubt.erase(item) : std::next(item);
     }
   }
   mInDoubt[aId] = aNow;
@@ -158,45 +158,45 @@
   if (mDispatcher.IsSatisfiable(aLane)) {
     return;
   }
-  const profile& needs = mDispatcher.LaneProfile(aLane);
+  const profile& required = mDispatcher.LaneProfile(aLane);
   for (const auto& [name, absent] : mAbsent) {
     bool recent = aNow - absent.second < mOptions.mJobs.mRetention;
-    if (recent && dispatcher::Fits(absent.first, needs)) {
+    if (recent && dispatcher::Fits(absent.first, required)) {
       return; // it may come back within the deadline
     }
   }
   throw failure(error_code::Unsatisfiable,
                 "accept",
                 "",
-                "no known backend server runs service " + needs.mService +
-                  " with " + std::to_string(needs.mCpus) + " cpus, " +
-                  std::to_string(needs.mMemoryMb) + " MB and " +
-                  std::to_string(needs.mAccelerators) + " accelerators");
+                "no known backend server runs service " + required.mService +
+                  " with " + std::to_string(required.mCpus) + " cpus, " +
+                  std::to_string(required.mMemoryMb) + " MB and " +
+                  std::to_string(required.mAccelerators) + " accelerators");
 }
 
 void
 shard_owner::Accept(submission aSubmission, const waiter& aWaiter, instant aNow)
 {
   job_id id = aSubmission.mId;
-  bool doubtful = IsInDoubt(id);
+  bool inDoubt = IsInDoubt(id);
   bool recovered =
-    doubtful || mRecovered.count(id) > 0 || mInherited.count(id) > 0;
+    inDoubt || mRecovered.count(id) > 0 || mInherited.count(id) > 0;
   uint32_t count = uint32_t(aSubmission.mPayloads.size());
   try {
-    const profile& rules = ProfileFor(aSubmission, recovered);
-    uint32_t lane = mDispatcher.SetLane(rules);
+    const profile& jobProfile = ProfileFor(aSubmission, recovered);
+    uint32_t lane = mDispatcher.SetLane(jobProfile);
     uint32_t teamIndex = TeamFor(aSubmission.mTeam);
-    duration deadline = milliseconds(rules.mDeadlineMs);
+    duration deadline = milliseconds(jobProfile.mDeadlineMs);
     if (aSubmission.mDeadline.count() > 0) {
       deadline = std::min(deadline, aSubmission.mDeadline);
     }
     aSubmission.mDeadline = deadline;
-    bool discovering = aNow - mClaimedAt < mOptions.mDiscovery;
+    bool discovering = aNow - mClaimedAt < mOptions.mDiscoveryTime;
     if (!recovered) {
       if (!discovering) {
         CheckSatisfiable(lane, aNow);
       }
-      MakeRoom(lane, teamIndex, count, aNow);
+      ShedJobs(lane, teamIndex, count, aNow);
       mDispatcher.Admit(
         lane, teamIndex, count, deadline, mRandom.NextUniform());
     }
@@ -204,13 +204,13 @@
     job_row& row = mJobs.At(job);
     row.mLane = lane;
     row.mTeam = teamIndex;
-    row.mPriority = rules.mPriority;
+    row.mPriority = jobProfile.mPriority;
     mCounters.mJobsAccepted++;
     AddWaiter(job, aWaiter);
     if (recovered && RestoreTasks(job, aNow)) {
       return; // all tasks have finished
     }
-    if (doubtful) {
+    if (inDoubt) {
       FailInDoubt(job, aNow);
     }
     uint32_t queued = 0;
@@ -235,7 +235,7 @@
 }
 
 void
-shard_owner::MakeRoom(uint32_t aLane,
+shard_owner::ShedJobs(uint32_t aLane,
                       uint32_t aTeam,
                       uint32_t aCount,
                       instant aNow)
@@ -296,11 +296,11 @@
   }
   auto worker = mWorkers.find(aTask.mWorker);
   if (worker == mWorkers.end()) {
-    bool ended = aTask.mState == record_state::Finished;
+    bool finished = aTask.mState == record_state::Finished;
     FinishTask(aJob,
                aTask.mIndex,
-               ended ? run_state::Run : run_state::Unknown,
-               ended ? task_reason::ResultGone : task_reason::WorkerLost,
+               finished ? run_state::Run : run_state::Unknown,
+               finished ? task_reason::ResultGone : task_reason::WorkerLost,
                aNow);
     return;
   }
@@ -328,11 +328,11 @@
 shard_owner::FetchRestored(job_handle aJob)
 {
   for (auto& [name, row] : mWorkers) {
-    wire::fetch_msg ask;
-    ask.refs = RestoredOf(row, aJob);
-    if (!ask.refs.empty() && row.mPeer != 0) {
+    wire::fetch_msg fetch;
+    fetch.refs = RestoredOf(row, aJob);
+    if (!fetch.refs.empty() && row.mPeer != 0) {
       mCounters.mFetchMessages++;
-      mNetwork.Send(row.mPeer, MakeMessage(std::move(ask)));
+      mNetwork.Send(row.mPeer, MakeMessage(std::move(fetch)));
     }
   }
 }
@@ -340,7 +340,7 @@
 void
 shard_owner::FailUnsatisfiable(instant aNow)
 {
-  if (mUnsatisfiable.empty() || aNow - mClaimedAt < mOptions.mDiscovery) {
+  if (mUnsatisfiable.empty() || aNow - mClaimedAt < mOptions.mDiscoveryTime) {
     return;
   }
   std::vector<job_handle> candidates = std::move(mUnsatisfiable);
@@ -358,9 +358,9 @@
 }
 
 bool
-shard_owner::FindOf(const std::string& aTeam,
-                    const job_id& aId,
-                    job_handle* aOut) const
+shard_owner::FindJobOfTeam(const std::string& aTeam,
+                           const job_id& aId,
+                           job_handle* aOut) const
 {
   return mJobs.Find(aId, aOut) && mJobs.At(*aOut).mSubmission.mTeam == aTeam;
 }
@@ -372,7 +372,7 @@
                    instant aNow)
 {
   job_handle job = 0;
-  if (FindOf(aTeam, aId, &job)) {
+  if (FindJobOfTeam(aTeam, aId, &job)) {
     const job_row& row = mJobs.At(job);
     if (row.mState == job_state::Running && aWaiter.mUntil > aNow) {
       AddWaiter(job, aWaiter);
@@ -393,7 +393,7 @@
                    std::chrono::seconds(1)));
     return;
   }
-  if (aNow - mClaimedAt < mOptions.mHold) {
+  if (aNow - mClaimedAt < mOptions.mMaxHoldTime) {
     // The previous owner may be about to submit the job here.
     Refuse(aWaiter,
            failure(error_code::Unavailable, kRouteStep, "", "just claimed"));
@@ -410,7 +410,7 @@
                     instant aNow)
 {
   job_handle job = 0;
-  if (!FindOf(aTeam, aId, &job)) {
+  if (!FindJobOfTeam(aTeam, aId, &job)) {
     Watch(aTeam, aId, aWaiter, aNow);
     return;
   }
@@ -428,8 +428,8 @@
   // Only dispatched tasks need messages, one to each worker.
   for (auto& [name, row] : mWorkers) {
     wire::cancel_tasks_msg cancel;
-    for (const auto& [ref, flown] : row.mInFlight) {
-      if (flown.mJob == job) {
+    for (const auto& [ref, task] : row.mInFlight) {
+      if (task.mJob == job) {
         cancel.refs.push_back(ref);
       }
     }
--- a/cactusmast/shard_owner_jobs.cc
+++ b/cactusmast/shard_owner_jobs.cc
@@ -9,24 +9,24 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kRefusedBackOff{ 200 };
+constexpr milliseconds kRefusalBackoff{ 200 };
 // A task is infeasible, and not dispatched, if half of its expected run time on
 // the worker is more than the time left until its deadline.
-constexpr int kHopelessDivisor = 2;
+constexpr int kInfeasibleDivisor = 2;
 
 wire::task_result_msg
-MadeResult(const task_ref& aRef, run_state aRun, task_reason aReason)
+MakeResult(const task_ref& aRef, run_state aRun, task_reason aReason)
 {
-  wire::task_result_msg made;
-  made.ref = aRef;
-  made.outcome = uint8_t(task_outcome::Failed);
-  made.run = uint8_t(aRun);
-  made.reason = uint8_t(aReason);
-  return made;
+  wire::task_result_msg result;
+  result.ref = aRef;
+  result.outcome = uint8_t(task_outcome::Failed);
+  result.run = uint8_t(aRun);
+  result.reason = uint8_t(aReason);
+  return result;
 }
 
 bool
-IsWorkersFault(const wire::task_result_msg& aResult)
+IsWorkerFault(const wire::task_result_msg& aResult)
 {
   auto reason = task_reason(aResult.reason);
   return aResult.outcome == uint8_t(task_outcome::Failed) &&
@@ -49,7 +49,7 @@
 {
   wire::job_reply_msg reply;
   reply.state = uint8_t(aRow.mState);
-  if (aRow.mOutputsGone) {
+  if (aRow.mOutputsDropped) {
     reply.error = uint8_t(error_code::NotFound);
     reply.text = "the job's outputs are no longer held";
     reply.step = "fetch answer";
@@ -64,7 +64,7 @@
 shard_owner::AddWaiter(job_handle aJob, const waiter& aWaiter)
 {
   mJobs.At(aJob).mWaiters.push_back(aWaiter);
-  mWaiterEnds.emplace(aWaiter.mUntil, std::make_pair(aJob, aWaiter.mToken));
+  mWaiterTimeouts.emplace(aWaiter.mUntil, std::make_pair(aJob, aWaiter.mToken));
 }
 
 void
@@ -83,7 +83,7 @@
   job_row& row = mJobs.At(aJob);
   bool complete = row.mState == job_state::Complete;
   (complete ? mCounters.mJobsComplete : mCounters.mJobsFailed)++;
-  NoteAbandoned(row);
+  AddAbandoned(row);
   mEvents.Emit(event_code::JobDecided,
                { { "job", row.mSubmission.mId.Text() },
                  { "state", std::string(Name(row.mState)) } });
@@ -105,7 +105,7 @@
     return;
   }
   task_ref ref = RefOf(mJobs.At(aJob).mSubmission.mId, aIndex);
-  FinishWithResult(aJob, MadeResult(ref, aRun, aReason), aNow);
+  FinishWithResult(aJob, MakeResult(ref, aRun, aReason), aNow);
 }
 
 void
@@ -166,21 +166,21 @@
     mCounters.mDuplicateResults++;
     return;
   }
-  in_flight_task landed = found->second;
+  in_flight_task task = found->second;
   aRow.mInFlight.erase(found);
-  bool wasAside = mDispatcher.IsQuarantined(aRow.mHandle, aNow);
+  bool wasQuarantined = mDispatcher.IsQuarantined(aRow.mHandle, aNow);
   mDispatcher.Finished({ aRow.mHandle,
-                         landed.mLane,
-                         landed.mTeam,
-                         landed.mExpected,
+                         task.mLane,
+                         task.mTeam,
+                         task.mExpected,
                          duration(int64_t(aResult.run_us)),
-                         IsWorkersFault(aResult) },
+                         IsWorkerFault(aResult) },
                        aNow);
-  if (!wasAside && mDispatcher.IsQuarantined(aRow.mHandle, aNow)) {
+  if (!wasQuarantined && mDispatcher.IsQuarantined(aRow.mHandle, aNow)) {
     mEvents.Emit(event_code::WorkerSetAside,
                  { { "worker", aRow.mIdentity.mName } });
   }
-  FinishWithResult(landed.mJob, aResult, aNow);
+  FinishWithResult(task.mJob, aResult, aNow);
 }
 
 void
@@ -194,9 +194,9 @@
   if (found == aRow.mInFlight.end()) {
     return;
   }
-  in_flight_task back = found->second;
+  in_flight_task task = found->second;
   aRow.mInFlight.erase(found);
-  mDispatcher.NotStarted(aRow.mHandle, back.mLane, back.mTeam, back.mExpected);
+  mDispatcher.NotStarted(aRow.mHandle, task.mLane, task.mTeam, task.mExpected);
   auto reason = task_reason(aResult.reason);
   if (reason == task_reason::StaleLease) {
     aRow.mLeased = false;
@@ -204,23 +204,23 @@
   } else if (reason != task_reason::Tombstone) {
     // The guard stays short of slots or of its budgets for longer than a round
     // trip.
-    aRow.mBackOffUntil = aNow + kRefusedBackOff;
+    aRow.mBackoffUntil = aNow + kRefusalBackoff;
   }
-  Requeue(back, aResult.ref.index(), reason != task_reason::Tombstone, aNow);
+  Requeue(task, aResult.ref.index(), reason != task_reason::Tombstone, aNow);
 }
 
 // Queues a task again that certainly did not start. With aCounted this uses
 // one of its retries.
 void
-shard_owner::Requeue(const in_flight_task& aFlight,
+shard_owner::Requeue(const in_flight_task& aTask,
                      uint32_t aIndex,
                      bool aCounted,
                      instant aNow)
 {
-  if (!mJobs.Has(aFlight.mJob)) {
+  if (!mJobs.Has(aTask.mJob)) {
     return;
   }
-  job_row& row = mJobs.At(aFlight.mJob);
+  job_row& row = mJobs.At(aTask.mJob);
   if (row.mState != job_state::Running ||
       row.mTasks[aIndex].mState != task_state::Dispatched) {
     return;
@@ -228,14 +228,14 @@
   task_progress& task = row.mTasks[aIndex];
   if (row.mCancelled) {
     FinishTask(
-      aFlight.mJob, aIndex, run_state::NotRun, task_reason::Cancelled, aNow);
+      aTask.mJob, aIndex, run_state::NotRun, task_reason::Cancelled, aNow);
     return;
   }
   if (aCounted) {
     task.mAttempts++;
     uint32_t limit = mDispatcher.LaneProfile(row.mLane).mRetryLimit;
     if (task.mAttempts > limit || !mDispatcher.TakeRetry()) {
-      FinishTask(aFlight.mJob,
+      FinishTask(aTask.mJob,
                  aIndex,
                  run_state::NotRun,
                  task_reason::RetriesExhausted,
@@ -244,9 +244,9 @@
     }
   }
   task.mState = task_state::Queued;
-  row.mReturned.push_back(aIndex);
+  row.mRequeued.push_back(aIndex);
   mCounters.mRepeatedTasks++;
-  mDispatcher.PutBack(aFlight.mJob, row.mLane, row.mTeam, aNow);
+  mDispatcher.PutBack(aTask.mJob, row.mLane, row.mTeam, aNow);
 }
 
 void
@@ -258,8 +258,9 @@
     worker_row& worker = mWorkers[mWorkerByHandle[start.mWorker]];
     uint32_t index = 0;
     bool taken = job_table::TakeQueued(row, &index);
-    bool hopeless = row.mDeadline - aNow < start.mExpected / kHopelessDivisor;
-    if (!taken || hopeless) {
+    bool infeasible =
+      row.mDeadline - aNow < start.mExpected / kInfeasibleDivisor;
+    if (!taken || infeasible) {
       mDispatcher.NotStarted(
         start.mWorker, start.mLane, start.mTeam, start.mExpected);
       if (taken) {
@@ -284,21 +285,21 @@
                         instant aNow)
 {
   const job_row& job = mJobs.At(aStart.mJob);
-  const profile& rules = mDispatcher.LaneProfile(aStart.mLane);
+  const profile& jobProfile = mDispatcher.LaneProfile(aStart.mLane);
   auto left =
     std::chrono::duration_cast<milliseconds>(job.mDeadline - aNow).count();
   wire::dispatch_item_msg item;
   item.ref = RefOf(job.mSubmission.mId, aIndex);
-  item.profile = rules.mName;
-  item.service = rules.mService;
+  item.profile = jobProfile.mName;
+  item.service = jobProfile.mService;
   item.payload = job.mSubmission.mPayloads[aIndex];
   item.timeout_ms = uint32_t(
-    std::min<int64_t>(rules.mTaskTimeoutMs, std::max<int64_t>(1, left)));
+    std::min<int64_t>(jobProfile.mTaskTimeoutMs, std::max<int64_t>(1, left)));
   if (aRow.mBatch.empty()) {
     aRow.mBatchSince = aNow;
     aRow.mBatchUrgent = false;
   }
-  if (rules.mPreference == cost_preference::ResponseTime) {
+  if (jobProfile.mPreference == cost_preference::ResponseTime) {
     aRow.mBatchUrgent = true;
   }
   aRow.mBatch.push_back(std::move(item));
@@ -340,15 +341,15 @@
     aRow.mBatchUrgent || aNow - aRow.mBatchSince >= mOptions.mDispatchLinger;
   if (!aRow.mBatch.empty() && due) {
     NextSequence(aRow, aNow);
-    wire::dispatch_msg send;
-    send.epoch = mEpoch;
-    send.sequence = aRow.mSequence;
-    send.items = std::move(aRow.mBatch);
-    send.acks = std::move(aRow.mAcks);
+    wire::dispatch_msg dispatch;
+    dispatch.epoch = mEpoch;
+    dispatch.sequence = aRow.mSequence;
+    dispatch.items = std::move(aRow.mBatch);
+    dispatch.acks = std::move(aRow.mAcks);
     aRow.mBatch.clear();
     aRow.mAcks.clear();
     mCounters.mDispatchMessages++;
-    mNetwork.Send(aRow.mPeer, MakeMessage(std::move(send)));
+    mNetwork.Send(aRow.mPeer, MakeMessage(std::move(dispatch)));
     return;
   }
   if (!aRow.mAcks.empty() && aRow.mBatch.empty() &&
@@ -385,9 +386,9 @@
 void
 shard_owner::ExpireWaiters(instant aNow)
 {
-  while (!mWaiterEnds.empty() && mWaiterEnds.begin()->first <= aNow) {
-    auto [job, token] = mWaiterEnds.begin()->second;
-    mWaiterEnds.erase(mWaiterEnds.begin());
+  while (!mWaiterTimeouts.empty() && mWaiterTimeouts.begin()->first <= aNow) {
+    auto [job, token] = mWaiterTimeouts.begin()->second;
+    mWaiterTimeouts.erase(mWaiterTimeouts.begin());
     if (!mJobs.Has(job)) {
       continue;
     }
@@ -398,9 +399,9 @@
         return aOne.mToken == wanted;
       });
     if (found != row.mWaiters.end()) {
-      waiter ended = *found;
+      waiter expired = *found;
       row.mWaiters.erase(found);
-      AnswerFrom(row, ended);
+      AnswerFrom(row, expired);
     }
   }
 }
--- a/cactusmast/shard_owner_records.cc
+++ b/cactusmast/shard_owner_records.cc
@@ -16,7 +16,7 @@
 constexpr size_t kHandoverTasks = 5000;
 // Number of guards that get a copy of a record of a start elsewhere, or of an
 // abandoned job.
-constexpr uint32_t kCopies = 2;
+constexpr uint32_t kRecordReplicas = 2;
 
 } // namespace
 
@@ -31,9 +31,9 @@
   }
   row->mLastHeard = aNow;
   if (aRecords.clean_stop) {
-    PassRecordsOn(*row, aRecords);
+    ReplicateRecords(*row, aRecords);
     if (aRecords.last) {
-      OnCleanStop(*row, aNow);
+      AwaitReplicas(*row, aNow);
     }
     return;
   }
@@ -47,7 +47,7 @@
       mRecovered[JobOf(item.ref())].push_back(
         { item.ref().index(), state, item.has_result(), row->mIdentity.mName });
     }
-    if (state == record_state::Running && !row->mRecordsIn) {
+    if (state == record_state::Running && !row->mRecordsReceived) {
       row->mAdopted[item.ref()] = true;
       mDispatcher.AdoptRunning(row->mHandle);
     }
@@ -55,12 +55,12 @@
   if (!aRecords.last) {
     return;
   }
-  row->mRecordsIn = true;
-  auto same = [row](const known_worker& aKnown) {
+  row->mRecordsReceived = true;
+  auto isThisWorker = [row](const known_worker& aKnown) {
     return aKnown.mName == row->mIdentity.mName &&
            aKnown.mIncarnation == row->mIdentity.mIncarnation;
   };
-  mMissing.erase(std::remove_if(mMissing.begin(), mMissing.end(), same),
+  mMissing.erase(std::remove_if(mMissing.begin(), mMissing.end(), isThisWorker),
                  mMissing.end());
   UpdateAccepting(*row, aNow);
   CheckComplete(aNow);
@@ -98,38 +98,38 @@
 // before their retention ends, the next owner would not find those starts. So
 // other guards store copies and report them with their own records.
 void
-shard_owner::PassRecordsOn(const worker_row& aFrom,
-                           const wire::records_msg& aRecords)
+shard_owner::ReplicateRecords(const worker_row& aFrom,
+                              const wire::records_msg& aRecords)
 {
-  for (const std::string& copier : Copiers(aFrom)) {
-    mNetwork.Send(mWorkers[copier].mPeer,
+  for (const std::string& replica : ReplicaTargets(aFrom)) {
+    mNetwork.Send(mWorkers[replica].mPeer,
                   MakeMessage(wire::records_msg(aRecords)));
   }
 }
 
 std::vector<std::string>
-shard_owner::Copiers(const worker_row& aFrom) const
+shard_owner::ReplicaTargets(const worker_row& aFrom) const
 {
-  std::vector<std::string> copiers;
+  std::vector<std::string> replicas;
   for (const auto& [name, row] : mWorkers) {
-    bool able = &row != &aFrom && row.mPeer != 0 && row.mLeased &&
-                !row.mDraining && copiers.size() < kCopies;
-    if (able) {
-      copiers.push_back(name);
+    bool eligible = &row != &aFrom && row.mPeer != 0 && row.mLeased &&
+                    !row.mDraining && replicas.size() < kRecordReplicas;
+    if (eligible) {
+      replicas.push_back(name);
     }
   }
-  return copiers;
+  return replicas;
 }
 
 void
-shard_owner::NoteAbandoned(const job_row& aRow)
+shard_owner::AddAbandoned(const job_row& aRow)
 {
-  bool some = std::any_of(
+  bool anyNotRun = std::any_of(
     aRow.mResults.begin(), aRow.mResults.end(), [](const auto& aResult) {
       return aResult.outcome != uint8_t(task_outcome::Succeeded) &&
              aResult.run == uint8_t(run_state::NotRun);
     });
-  if (some && mSafeguards.mRecordAbandoned) {
+  if (anyNotRun && mSafeguards.mRecordAbandoned) {
     mAbandoned.push_back(RefOf(aRow.mSubmission.mId, kWholeJob));
   }
 }
@@ -146,7 +146,7 @@
   }
   uint32_t sent = 0;
   for (const auto& [name, row] : mWorkers) {
-    if (row.mPeer == 0 || !row.mLeased || sent == kCopies) {
+    if (row.mPeer == 0 || !row.mLeased || sent == kRecordReplicas) {
       continue;
     }
     wire::abandon_msg abandon;
@@ -172,68 +172,71 @@
 }
 
 void
-shard_owner::OnCleanStop(worker_row& aRow, instant aNow)
+shard_owner::AwaitReplicas(worker_row& aRow, instant aNow)
 {
-  aRow.mStopping = true;
-  aRow.mAwaitedCopies.clear();
-  for (const std::string& copier : Copiers(aRow)) {
+  aRow.mReplicating = true;
+  aRow.mPendingReplicas.clear();
+  for (const std::string& replica : ReplicaTargets(aRow)) {
     // This request follows the records on the same link, so its confirmation
     // confirms them as well.
-    worker_row& keeper = mWorkers[copier];
-    RequestLease(keeper, aNow);
-    aRow.mAwaitedCopies[copier] = keeper.mSequence;
+    worker_row& replicaRow = mWorkers[replica];
+    RequestLease(replicaRow, aNow);
+    aRow.mPendingReplicas[replica] = replicaRow.mSequence;
   }
-  if (aRow.mAwaitedCopies.empty()) {
-    FinishCleanStop(std::string(aRow.mIdentity.mName), false, aNow);
+  if (aRow.mPendingReplicas.empty()) {
+    FinishDrain(std::string(aRow.mIdentity.mName), false, aNow);
   }
 }
 
 void
-shard_owner::OnCopyConfirmed(const std::string& aCopier,
-                             uint64_t aSequence,
-                             instant aNow)
+shard_owner::OnReplicaConfirmed(const std::string& aReplica,
+                                uint64_t aSequence,
+                                instant aNow)
 {
-  std::vector<std::string> kept;
-  std::vector<std::string> lost;
+  std::vector<std::string> replicated;
+  std::vector<std::string> unreplicated;
   for (auto& [name, row] : mWorkers) {
-    auto awaited = row.mAwaitedCopies.find(aCopier);
-    if (!row.mStopping || awaited == row.mAwaitedCopies.end()) {
+    auto awaited = row.mPendingReplicas.find(aReplica);
+    if (!row.mReplicating || awaited == row.mPendingReplicas.end()) {
       continue;
     }
     if (aSequence >= awaited->second) {
-      kept.push_back(name);
+      replicated.push_back(name);
     } else if (aSequence == 0) {
-      row.mAwaitedCopies.erase(awaited);
-      if (row.mAwaitedCopies.empty()) {
-        lost.push_back(name);
+      row.mPendingReplicas.erase(awaited);
+      if (row.mPendingReplicas.empty()) {
+        unreplicated.push_back(name);
       }
     }
   }
-  for (const std::string& name : kept) {
-    FinishCleanStop(name, true, aNow);
+  for (const std::string& name : replicated) {
+    FinishDrain(name, true, aNow);
   }
-  for (const std::string& name : lost) {
-    FinishCleanStop(name, false, aNow);
+  for (const std::string& name : unreplicated) {
+    FinishDrain(name, false, aNow);
   }
 }
 
 void
-shard_owner::FinishCleanStop(const std::string& aName, bool aKept, instant aNow)
+shard_owner::FinishDrain(const std::string& aName,
+                         bool aReplicated,
+                         instant aNow)
 {
   worker_row& row = mWorkers[aName];
   wire::lease_release_msg release;
   release.shard = mOptions.mShard;
   release.epoch = mEpoch;
-  release.records_kept = aKept;
+  release.records_kept = aReplicated;
   mNetwork.Send(row.mPeer, MakeMessage(std::move(release)));
-  if (!aKept) {
+  if (!aReplicated) {
     // No other guard has the records. If this owner fails, nobody can tell what
     // ran there, and the next owner must know that.
     mLostWorkers.push_back({ aName, row.mIdentity.mIncarnation, aNow });
   }
   ForgetRecordsAt(aName);
-  mEvents.Emit(event_code::WorkerLeft,
-               { { "worker", aName }, { "kept", aKept ? "true" : "false" } });
+  mEvents.Emit(
+    event_code::WorkerLeft,
+    { { "worker", aName }, { "kept", aReplicated ? "true" : "false" } });
   mAbsent[aName] = { row.mTraits, aNow };
   RemoveWorker(aName);
 }
@@ -244,15 +247,15 @@
   auto expired = [&](const known_worker& aKnown) {
     return aKnown.mLastAlive + mOptions.mJobs.mRetention <= aNow;
   };
-  bool before = mMissing.empty();
-  size_t missing = mMissing.size();
+  bool wasComplete = mMissing.empty();
+  size_t missingBefore = mMissing.size();
   mMissing.erase(std::remove_if(mMissing.begin(), mMissing.end(), expired),
                  mMissing.end());
-  mInDoubtExpired = mInDoubtExpired || mMissing.size() < missing;
+  mInDoubtExpired = mInDoubtExpired || mMissing.size() < missingBefore;
   mLostWorkers.erase(
     std::remove_if(mLostWorkers.begin(), mLostWorkers.end(), expired),
     mLostWorkers.end());
-  if (!before && mMissing.empty()) {
+  if (!wasComplete && mMissing.empty()) {
     mEvents.Emit(event_code::ShardComplete,
                  { { "shard", std::to_string(mOptions.mShard) } });
   }
@@ -260,7 +263,7 @@
     mInDoubt.clear();
   }
   if (!mMissing.empty() && !mInDoubtReported &&
-      aNow - mClaimedAt >= mOptions.mHold) {
+      aNow - mClaimedAt >= mOptions.mMaxHoldTime) {
     mInDoubtReported = true;
     mEvents.Emit(event_code::ShardInDoubt,
                  { { "shard", std::to_string(mOptions.mShard) },
@@ -298,7 +301,7 @@
   for (const known_worker& listed : aListed) {
     auto present = mWorkers.find(listed.mName);
     bool reported =
-      present != mWorkers.end() && present->second.mRecordsIn &&
+      present != mWorkers.end() && present->second.mRecordsReceived &&
       present->second.mIdentity.mIncarnation == listed.mIncarnation;
     bool known = std::any_of(
       mMissing.begin(), mMissing.end(), [&](const known_worker& aOne) {
@@ -315,7 +318,7 @@
 void
 shard_owner::OnRosterStored(uint64_t aVersion)
 {
-  mStoredRoster = std::max(mStoredRoster, aVersion);
+  mStoredRosterVersion = std::max(mStoredRosterVersion, aVersion);
 }
 
 void
@@ -354,7 +357,7 @@
                          aNow - milliseconds(listed.age_ms) };
     auto present = mWorkers.find(listed.name);
     bool reported =
-      present != mWorkers.end() && present->second.mRecordsIn &&
+      present != mWorkers.end() && present->second.mRecordsReceived &&
       present->second.mIdentity.mIncarnation == listed.incarnation;
     if (!listed.needed) {
       mLostWorkers.push_back(std::move(worker));
@@ -366,7 +369,7 @@
 }
 
 void
-shard_owner::ListWorkers(wire::handover_msg* aPart, instant aNow) const
+shard_owner::AddWorkerList(wire::handover_msg* aPart, instant aNow) const
 {
   auto add = [&](const known_worker& aWorker, bool aNeeded) {
     wire::listed_worker_msg listed;
@@ -381,8 +384,8 @@
   for (const known_worker& missing : mMissing) {
     add(missing, true);
   }
-  for (const known_worker& gone : mLostWorkers) {
-    add(gone, false);
+  for (const known_worker& lost : mLostWorkers) {
+    add(lost, false);
   }
   for (const auto& [name, row] : mWorkers) {
     add({ name, row.mIdentity.mIncarnation, row.mLastHeard }, row.mPeer != 0);
@@ -393,14 +396,14 @@
 shard_owner::HandOver(peer_id aSuccessor, instant aNow)
 {
   wire::handover_msg part;
-  size_t tasks = 0;
+  size_t partSize = 0;
   auto flush = [&](bool aLast) {
     part.shard = mOptions.mShard;
     part.epoch = mEpoch;
     part.last = aLast;
     mNetwork.Send(aSuccessor, MakeMessage(std::move(part)));
     part = wire::handover_msg();
-    tasks = 0;
+    partSize = 0;
   };
   for (const auto& [handle, row] : mJobs.Rows()) {
     wire::decided_job_msg job;
@@ -414,9 +417,9 @@
         job.tasks.push_back(row.mResults[i]);
       }
     }
-    tasks += 1 + job.tasks.size();
+    partSize += 1 + job.tasks.size();
     part.answers.push_back(std::move(job));
-    if (tasks >= kHandoverTasks) {
+    if (partSize >= kHandoverTasks) {
       flush(false);
     }
   }
@@ -431,13 +434,13 @@
   for (const auto& [name, row] : mWorkers) {
     // A worker without a link cannot be asked about these, so they count as
     // started.
-    for (const auto& [ref, flown] : row.mInFlight) {
+    for (const auto& [ref, task] : row.mInFlight) {
       if (row.mPeer == 0) {
         part.starts.emplace_back(ref, uint8_t(record_state::Running), false);
       }
     }
   }
-  ListWorkers(&part, aNow);
+  AddWorkerList(&part, aNow);
   flush(true);
 }
 
@@ -452,9 +455,9 @@
     if (row.mState != job_state::Running) {
       continue;
     }
-    submission again = row.mSubmission;
-    again.mDeadline = std::max(duration(0), row.mDeadline - aNow);
-    moved.push_back({ std::move(again), std::move(row.mWaiters) });
+    submission resubmission = row.mSubmission;
+    resubmission.mDeadline = std::max(duration(0), row.mDeadline - aNow);
+    moved.push_back({ std::move(resubmission), std::move(row.mWaiters) });
   }
   for (held_submission& held : mHeld) {
     moved.push_back({ std::move(held.mSubmission), { held.mWaiter } });
--- a/cactusmast/task_queue.cc
+++ b/cactusmast/task_queue.cc
@@ -14,10 +14,10 @@
 }
 
 task_queue::job_row&
-task_queue::RowFor(job_handle aJob,
-                   uint32_t aLane,
-                   uint32_t aTeam,
-                   instant aNow)
+task_queue::FindOrAddRow(job_handle aJob,
+                         uint32_t aLane,
+                         uint32_t aTeam,
+                         instant aNow)
 {
   if (aLane >= mLanes.size()) {
     mLanes.resize(aLane + 1);
@@ -25,16 +25,16 @@
   if (aTeam >= mTeams.size()) {
     mTeams.resize(aTeam + 1);
   }
-  team_row& owner = mTeams[aTeam];
-  if (owner.mQueued == 0) {
-    owner.mVirtualTime = std::max(owner.mVirtualTime, mVirtualNow);
+  team_row& teamRow = mTeams[aTeam];
+  if (teamRow.mQueued == 0) {
+    teamRow.mVirtualTime = std::max(teamRow.mVirtualTime, mVirtualNow);
   }
   return mJobs.try_emplace(aJob, job_row{ aLane, aTeam, 0, aNow, false })
     .first->second;
 }
 
 void
-task_queue::Add(job_row& aRow, uint32_t aCount)
+task_queue::AddTasks(job_row& aRow, uint32_t aCount)
 {
   aRow.mQueued += aCount;
   mTeams[aRow.mTeam].mQueued += aCount;
@@ -44,29 +44,29 @@
 }
 
 void
-task_queue::Subtract(const job_row& aRow, uint32_t aCount)
+task_queue::RemoveTasks(const job_row& aRow, uint32_t aCount)
 {
   mTeams[aRow.mTeam].mQueued -= aCount;
   mTotal -= aCount;
   lane_row& lane = mLanes[aRow.mLane];
   lane.mQueued -= aCount;
-  auto entry = lane.mGroups.find(aRow.mTeam);
-  entry->second.mQueued -= aCount;
-  if (entry->second.mQueued > 0) {
-    Tidy(entry->second);
+  auto found = lane.mGroups.find(aRow.mTeam);
+  found->second.mQueued -= aCount;
+  if (found->second.mQueued > 0) {
+    TrimRing(found->second);
     return;
   }
-  for (job_handle job : entry->second.mRing) {
-    auto listed = mJobs.find(job);
-    if (listed != mJobs.end()) {
-      listed->second.mListed = false;
+  for (job_handle job : found->second.mRing) {
+    auto row = mJobs.find(job);
+    if (row != mJobs.end()) {
+      row->second.mInRing = false;
     }
   }
-  lane.mGroups.erase(entry);
+  lane.mGroups.erase(found);
 }
 
 void
-task_queue::Tidy(group_row& aGroup)
+task_queue::TrimRing(group_row& aGroup)
 {
   while (!aGroup.mRing.empty()) {
     auto front = mJobs.find(aGroup.mRing.front());
@@ -74,16 +74,16 @@
       return;
     }
     if (front != mJobs.end()) {
-      front->second.mListed = false;
+      front->second.mInRing = false;
     }
     aGroup.mRing.pop_front();
   }
 }
 
 void
-task_queue::List(job_handle aJob, job_row& aRow, bool aFront)
+task_queue::AddToRing(job_handle aJob, job_row& aRow, bool aFront)
 {
-  if (aRow.mListed) {
+  if (aRow.mInRing) {
     return;
   }
   std::deque<job_handle>& ring = mLanes[aRow.mLane].mGroups[aRow.mTeam].mRing;
@@ -92,7 +92,7 @@
   } else {
     ring.push_back(aJob);
   }
-  aRow.mListed = true;
+  aRow.mInRing = true;
 }
 
 void
@@ -105,9 +105,9 @@
   if (aCount == 0) {
     return;
   }
-  job_row& row = RowFor(aJob, aLane, aTeam, aNow);
-  Add(row, aCount);
-  List(aJob, row, false);
+  job_row& row = FindOrAddRow(aJob, aLane, aTeam, aNow);
+  AddTasks(row, aCount);
+  AddToRing(aJob, row, false);
 }
 
 void
@@ -116,9 +116,9 @@
                     uint32_t aTeam,
                     instant aNow)
 {
-  job_row& row = RowFor(aJob, aLane, aTeam, aNow);
-  Add(row, 1);
-  List(aJob, row, true);
+  job_row& row = FindOrAddRow(aJob, aLane, aTeam, aNow);
+  AddTasks(row, 1);
+  AddToRing(aJob, row, true);
 }
 
 uint32_t
@@ -131,7 +131,7 @@
   job_row row = found->second;
   mJobs.erase(found);
   if (row.mQueued > 0) {
-    Subtract(row, row.mQueued);
+    RemoveTasks(row, row.mQueued);
   }
   return row.mQueued;
 }
@@ -142,24 +142,24 @@
   if (aLane >= mLanes.size()) {
     return false;
   }
-  auto entry = mLanes[aLane].mGroups.find(aTeam);
-  if (entry == mLanes[aLane].mGroups.end()) {
+  auto found = mLanes[aLane].mGroups.find(aTeam);
+  if (found == mLanes[aLane].mGroups.end()) {
     return false;
   }
-  std::deque<job_handle>& ring = entry->second.mRing;
+  std::deque<job_handle>& ring = found->second.mRing;
   *aJob = ring.front();
   ring.pop_front();
   job_row& row = mJobs[*aJob];
-  row.mListed = false;
+  row.mInRing = false;
   row.mQueued--;
   mVirtualNow = std::max(mVirtualNow, mTeams[aTeam].mVirtualTime);
   if (row.mQueued > 0) {
-    List(*aJob, row, false);
-    Subtract(row, 1);
+    AddToRing(*aJob, row, false);
+    RemoveTasks(row, 1);
   } else {
-    job_row last = row;
+    job_row removed = row;
     mJobs.erase(*aJob);
-    Subtract(last, 1);
+    RemoveTasks(removed, 1);
   }
   return true;
 }
@@ -176,7 +176,7 @@
   aOut->clear();
   for (uint32_t lane = 0; lane < mLanes.size(); lane++) {
     for (const auto& [teamIndex, row] : mLanes[lane].mGroups) {
-      instant since = mJobs.at(row.mRing.front()).mSince;
+      instant since = mJobs.at(row.mRing.front()).mQueuedAt;
       aOut->push_back({ lane, teamIndex, row.mQueued, since });
     }
   }
@@ -200,8 +200,8 @@
   if (aLane >= mLanes.size()) {
     return 0;
   }
-  auto entry = mLanes[aLane].mGroups.find(aTeam);
-  return entry == mLanes[aLane].mGroups.end() ? 0 : entry->second.mQueued;
+  auto found = mLanes[aLane].mGroups.find(aTeam);
+  return found == mLanes[aLane].mGroups.end() ? 0 : found->second.mQueued;
 }
 
 uint32_t
@@ -231,11 +231,11 @@
   if (aLane >= mLanes.size()) {
     return;
   }
-  auto entry = mLanes[aLane].mGroups.find(aTeam);
-  if (entry == mLanes[aLane].mGroups.end()) {
+  auto found = mLanes[aLane].mGroups.find(aTeam);
+  if (found == mLanes[aLane].mGroups.end()) {
     return;
   }
-  for (job_handle job : entry->second.mRing) {
+  for (job_handle job : found->second.mRing) {
     if (QueuedOf(job) > 0 && !aVisit(job)) {
       return;
     }
--- a/cactusmast/task_queue.h
+++ b/cactusmast/task_queue.h
@@ -72,7 +72,7 @@
     uint32_t mLane = 0;
     uint32_t mTeam = 0;
     uint32_t mQueued = 0;
-    instant mSince{}; // when its next job was queued
+    instant mWaitingSince{}; // when its next job was queued
   };
   // Replaces the content of aOut by all groups that have work.
   void Groups(std::vector<group>* aOut) const;
@@ -100,8 +100,8 @@
     uint32_t mLane;
     uint32_t mTeam;
     uint32_t mQueued;
-    instant mSince;
-    bool mListed; // is in its group's ring
+    instant mQueuedAt;
+    bool mInRing; // is in its group's ring
   };
 
   struct group_row
@@ -125,16 +125,16 @@
     uint32_t mQueued = 0;
   };
 
-  job_row& RowFor(job_handle aJob,
-                  uint32_t aLane,
-                  uint32_t aTeam,
-                  instant aNow);
-  void Add(job_row& aRow, uint32_t aCount);
-  void Subtract(const job_row& aRow, uint32_t aCount);
+  job_row& FindOrAddRow(job_handle aJob,
+                        uint32_t aLane,
+                        uint32_t aTeam,
+                        instant aNow);
+  void AddTasks(job_row& aRow, uint32_t aCount);
+  void RemoveTasks(const job_row& aRow, uint32_t aCount);
   // Adds a job to the ring of its group unless it is there already.
-  void List(job_handle aJob, job_row& aRow, bool aFront);
+  void AddToRing(job_handle aJob, job_row& aRow, bool aFront);
   // Removes jobs without queued tasks from the front of the ring.
-  void Tidy(group_row& aGroup);
+  void TrimRing(group_row& aGroup);
 
   std::vector<lane_row> mLanes;
   std::vector<team_row> mTeams;
--- a/cactusmast/testing/queue_test.cc
+++ b/cactusmast/testing/queue_test.cc
@@ -100,7 +100,7 @@
   std::mt19937 random(5);
   for (int round = 0; round < 200; round++) {
     task_queue queue;
-    std::map<job_handle, uint32_t> oracle; // queued tasks by job
+    std::map<job_handle, uint32_t> model; // queued tasks by job
     std::map<job_handle, std::pair<uint32_t, uint32_t>> groups;
     job_handle next = 1;
     for (int step = 0; step < 200; step++) {
@@ -110,7 +110,7 @@
         case 0: {
           uint32_t count = 1 + random() % 5;
           queue.Push(next, lane, teamIndex, count, seconds(step));
-          oracle[next] = count;
+          model[next] = count;
           groups[next] = { lane, teamIndex };
           next++;
           break;
@@ -118,17 +118,17 @@
         case 1: {
           job_handle job = 0;
           if (queue.Pop(lane, teamIndex, &job)) {
-            REQUIRE(oracle[job] > 0);
+            REQUIRE(model[job] > 0);
             CHECK(groups[job] == std::make_pair(lane, teamIndex));
-            oracle[job]--;
+            model[job]--;
           }
           break;
         }
         case 2: {
           job_handle job = 1 + random() % next;
-          uint32_t expected = oracle[job];
+          uint32_t expected = model[job];
           CHECK(queue.Remove(job) == expected);
-          oracle[job] = 0;
+          model[job] = 0;
           break;
         }
         default: {
@@ -136,13 +136,13 @@
           if (groups.count(job) > 0) {
             auto [jobLane, jobTeam] = groups[job];
             queue.PutBack(job, jobLane, jobTeam, seconds(step));
-            oracle[job]++;
+            model[job]++;
           }
           break;
         }
       }
       uint32_t total = 0;
-      for (const auto& [job, count] : oracle) {
+      for (const auto& [job, count] : model) {
         total += count;
         CHECK(queue.QueuedOf(job) == count);
       }
@@ -347,7 +347,7 @@
 {
   run_time_estimator estimator;
   std::mt19937 random(2);
-  const double kSlow[] = { 1, 2, 6 };
+  const double kSlowness[] = { 1, 2, 6 };
   const double kMeanMs[] = { 50, 400 };
   for (int i = 0; i < 3000; i++) {
     uint32_t lane = random() % 2;
@@ -356,13 +356,13 @@
     estimator.Observe(
       lane,
       worker,
-      duration(int64_t(kMeanMs[lane] * kSlow[worker] * noise * 1000)));
+      duration(int64_t(kMeanMs[lane] * kSlowness[worker] * noise * 1000)));
   }
   for (uint32_t lane = 0; lane < 2; lane++) {
     for (uint32_t worker = 0; worker < 3; worker++) {
-      double expected = kMeanMs[lane] * kSlow[worker] * 1000;
-      double learned = double(estimator.Expected(lane, worker).count());
-      CHECK(std::fabs(learned / expected - 1) < 0.25);
+      double expected = kMeanMs[lane] * kSlowness[worker] * 1000;
+      double estimate = double(estimator.Expected(lane, worker).count());
+      CHECK(std::fabs(estimate / expected - 1) < 0.25);
     }
   }
 }
