--- a/cactusmast/shard_owner.cc
+++ b/cactusmast/shard_owner.cc
@@ -383,7 +383,7 @@
 shard_owner::CheckWorkers(instant aNow)
 {
   std::vector<std::string> lost;
-  std::vector<peer_id> silent;
+  std::vector<peer_id> timedOut;
   for (auto& [name, row] : mWorkers) {
     if (row.mPeer == 0) {
       if (aNow - row.mLinkDownSince >= mOptions.mWorkerTimeout) {
@@ -392,7 +392,7 @@
       continue;
     }
     if (aNow - row.mLastHeard >= mOptions.mLease) {
-      silent.push_back(row.mPeer);
+      timedOut.push_back(row.mPeer);
       continue;
     }
     // Dispatches and their results renew the lease too, so only an idle link
@@ -407,7 +407,7 @@
     }
     UpdateAccepting(row, aNow);
   }
-  for (peer_id peer : silent) {
+  for (peer_id peer : timedOut) {
     mEvents.Emit(
       event_code::PeerSilent,
       { { "peer", mWorkerByPeer[peer] }, { "step", "renew lease" } });
