--- a/cactusmast/shard_owner_accept.cc
+++ b/cactusmast/shard_owner_accept.cc
@@ -387,8 +387,8 @@
            failure(error_code::InDoubt,
                    "find job",
                    "",
-                   "the entry that held this job is gone; submit it again "
-                   "under the same key to have it completed",
+                   "the entry that owned this job is no longer available; "
+                   "submit it again under the same key to have it completed",
                    run_state::Unknown,
                    std::chrono::seconds(1)));
     return;
@@ -396,7 +396,10 @@
   if (aNow - mClaimedAt < mOptions.mMaxHoldTime) {
     // The previous owner may be about to submit the job here.
     Refuse(aWaiter,
-           failure(error_code::Unavailable, kRouteStep, "", "just claimed"));
+           failure(error_code::Unavailable,
+                   kRouteStep,
+                   "",
+                   "the shard was claimed a moment ago"));
     return;
   }
   Refuse(aWaiter,
