--- a/cactusmast/shard_owner.h
+++ b/cactusmast/shard_owner.h
@@ -137,6 +137,7 @@
   uint64_t mJobsFailed = 0;
 };
 
+// Adds every counter of aFrom to that of aInto.
 void
 AddCounters(const owner_counters& aFrom, owner_counters* aInto);
 
@@ -218,6 +219,7 @@
   // owner may have started tasks that are queued here, so this one must step
   // down and, to own the shard again, start from the records.
   bool Superseded() const { return mSuperseded; }
+  // Number of workers whose lease this owner holds.
   uint32_t LeasedWorkers(instant aNow) const;
   const owner_counters& Counters() const { return mCounters; }
   dispatcher& Dispatcher() { return mDispatcher; }
@@ -242,7 +244,7 @@
     bool mQuarantined = false;
     uint32_t mSlots = 0;
     uint32_t mRunning = 0;
-    double mSlowness = 0;
+    double mSlowness = 0; // of the first profile's tasks; about 1 on average
   };
   std::vector<worker_status> Workers(instant aNow) const;
 
@@ -255,6 +257,7 @@
     duration mExpected{};
   };
 
+  // A message whose confirmation by the guard renews the lease.
   struct sent_sequence
   {
     uint64_t mSequence;
