--- a/cactusmast/error.h
+++ b/cactusmast/error.h
@@ -1,5 +1,5 @@
-// Errors of the library. Every error names the step that failed and the peer
-// it concerned, and says whether the request it answers was run.
+// The error type of the library. Every error names the operation that failed
+// and the peer involved, and states whether the request was executed.
 
 #ifndef CACTUSMAST_ERROR_H_
 #define CACTUSMAST_ERROR_H_
@@ -16,19 +16,19 @@
 enum class error_code : uint8_t
 {
   None,
-  BadRequest,       // malformed or out of range; retrying cannot help
+  BadRequest,       // malformed or out of range; a retry cannot help
   Unauthorized,     // the token is missing or wrong
   NotFound,         // no such job, profile or path
-  Conflict,         // compare-and-set lost, or a key reused with other content
-  TooLarge,         // over a body, frame or job budget
-  Overloaded,       // queue bound or deadline cannot be met; come back later
+  Conflict,         // compare-and-set failed, or a key reused for other content
+  TooLarge,         // over the limit of a body, frame or job
+  Overloaded,       // queue is full or deadline cannot be met; retry later
   Unsatisfiable,    // no known backend server can ever run it
-  DeadlineExceeded, // the deadline passed before the end
+  DeadlineExceeded, // the deadline passed before the request ended
   Cancelled,        // the caller cancelled it
-  InDoubt,     // an earlier submission may have started and cannot be asked
-  Unavailable, // no owner, no backend server, or no table at present
-  Draining,    // this process is stopping
-  Protocol,    // a peer sent something that is not the protocol
+  InDoubt,          // an earlier submission may have started on a lost worker
+  Unavailable,      // no owner, no backend server, or no table at present
+  Draining,         // this process is draining
+  Protocol,         // a peer violated the wire protocol
   Internal,
   Count
 };
@@ -42,6 +42,7 @@
   Count
 };
 
+// Names for callers and logs; "invalid" for values outside the enumeration.
 std::string_view
 Name(error_code aCode);
 std::string_view
@@ -51,6 +52,8 @@
 int
 HttpStatus(error_code aCode);
 
+// An error as it is thrown, and as result<T> holds it. what() is the text for
+// people.
 class failure : public std::runtime_error
 {
 public:
@@ -70,10 +73,12 @@
   }
 
   error_code Code() const { return mCode; }
+  // The operation that failed, such as "decode".
   const std::string& Step() const { return mStep; }
+  // The process or caller that the operation concerned; empty for none.
   const std::string& Peer() const { return mPeer; }
   run_state RunState() const { return mRunState; }
-  // Zero: no advice.
+  // How long to wait before a retry; zero gives no advice.
   std::chrono::milliseconds RetryAfter() const { return mRetryAfter; }
 
 private:
--- a/cactusmast/events.cc
+++ b/cactusmast/events.cc
@@ -218,7 +218,7 @@
       return row;
     }
   }
-  throw std::logic_error("event without a table row");
+  throw std::logic_error("event code has no row in the event table");
 }
 
 std::string_view
--- a/cactusmast/events.h
+++ b/cactusmast/events.h
@@ -1,5 +1,5 @@
-// Numbered log events. Every line that a daemon logs is one of these; the
-// catalogue for operators is docs/EVENTS.md, which a test holds equal to the
+// Numbered log events. Every line that a daemon logs is one of these.
+// docs/EVENTS.md lists them for operators; a test checks that it equals the
 // table here.
 
 #ifndef CACTUSMAST_EVENTS_H_
@@ -81,26 +81,29 @@
 {
   event_code mCode;
   severity mSeverity;
-  std::string_view mName;
-  std::string_view mMeaning;
+  std::string_view mName;    // as logged, in lower case with underscores
+  std::string_view mMeaning; // one sentence for operators
 };
 
 // All events in ascending order of their numbers.
 const std::vector<event_row>&
 EventTable();
 
+// Throws std::logic_error when the table has no row for aCode.
 const event_row&
 EventOf(event_code aCode);
 
 std::string_view
 Name(severity aSeverity);
 
+// A key and its value on a log line.
 struct event_field
 {
   std::string_view mName;
   std::string mValue;
 };
 
+// Receives the events of the decision core; a daemon logs them.
 class event_sink
 {
 public:
--- a/cactusmast/ids.cc
+++ b/cactusmast/ids.cc
@@ -9,7 +9,7 @@
 job_id
 job_id::FromKey(std::string_view aTeam, std::string_view aKey, uint64_t aSeed)
 {
-  // The length prefix keeps ("ab", "c") and ("a", "bc") apart.
+  // Without the length prefix, ("ab", "c") and ("a", "bc") would hash alike.
   std::string text = std::to_string(aTeam.size()) + ':';
   text.append(aTeam);
   text.append(aKey);
--- a/cactusmast/ids.h
+++ b/cactusmast/ids.h
@@ -1,4 +1,4 @@
-// Identities and time as the decision core uses them.
+// Identifier and time types of the decision core.
 
 #ifndef CACTUSMAST_IDS_H_
 #define CACTUSMAST_IDS_H_
@@ -15,8 +15,8 @@
 
 using task_ref = wire::task_ref;
 
-// Microseconds; instants count from an arbitrary origin of the process's own
-// monotonic clock and never travel between processes.
+// Microseconds. Instants count from an arbitrary origin of the process's own
+// monotonic clock and are never sent to other processes.
 using duration = std::chrono::microseconds;
 using instant = std::chrono::microseconds;
 
@@ -29,7 +29,7 @@
 
 // Identifies a job for as long as it is retained: a seeded 128-bit hash of
 // the team and the caller's idempotency key, so that every entry derives the
-// same identity from a resubmission without asking anybody.
+// same identifier from a resubmission without asking another process.
 struct job_id
 {
   uint64_t mHi = 0;
@@ -43,11 +43,14 @@
   static job_id FromKey(std::string_view aTeam,
                         std::string_view aKey,
                         uint64_t aSeed);
-  // The 32 hexadecimal digits of Text(); false when aText is no identity.
+  // Reads what Text() returns. Returns false and leaves aOut unchanged for any
+  // other text.
   static bool Parse(std::string_view aText, job_id* aOut);
+  // 32 lower-case hexadecimal digits.
   std::string Text() const;
 };
 
+// The job that a task belongs to.
 inline job_id
 JobOf(const task_ref& aRef)
 {
@@ -55,6 +58,7 @@
            uint64_t(aRef.job_lo_high()) << 32 | aRef.job_lo_low() };
 }
 
+// The reference to task aIndex of aJob.
 inline task_ref
 RefOf(const job_id& aJob, uint32_t aIndex)
 {
@@ -93,7 +97,7 @@
 uint64_t
 Hash64(std::string_view aText, uint64_t aSeed = 0);
 
-// The shard that owns aId, out of aShardCount.
+// The shard that aId belongs to, out of aShardCount; 0 if aShardCount is 0.
 uint32_t
 ShardOf(const job_id& aId, uint32_t aShardCount);
 
--- a/cactusmast/message.cc
+++ b/cactusmast/message.cc
@@ -108,7 +108,8 @@
     reader.Append(aBytes);
     std::string_view frame;
     if (!reader.Next(&frame)) {
-      throw failure(error_code::Protocol, "decode", aPeer, "cut short");
+      throw failure(
+        error_code::Protocol, "decode", aPeer, "frame is truncated");
     }
     return std::move(DecodeEnvelope(frame, aPeer).Value());
   });
@@ -137,7 +138,7 @@
   decoded.value =
     message::UnPack(envelope->content(), envelope->content_type(), nullptr);
   if (decoded.value == nullptr) {
-    // A newer peer's message that this build does not know.
+    // A message of a newer peer that this build does not know.
     decoded.type = message_kind::NONE;
   }
   return decoded;
@@ -146,8 +147,8 @@
 bool
 frame_reader::Next(std::string_view* aFrame)
 {
-  // Compacting only when half the buffer is spent keeps the cost of many
-  // small frames in one read linear.
+  // Compacting only once half of the buffer is consumed keeps the cost of
+  // reading many small frames linear in their bytes.
   if (mConsumed > 0 && mConsumed * 2 >= mBuffer.size()) {
     mBuffer.erase(0, mConsumed);
     mConsumed = 0;
@@ -164,8 +165,8 @@
     throw failure(error_code::TooLarge,
                   "read frame",
                   "",
-                  "frame of " + std::to_string(length) + " bytes is over " +
-                    std::to_string(mMaxFrame));
+                  "frame of " + std::to_string(length) +
+                    " bytes exceeds the limit of " + std::to_string(mMaxFrame));
   }
   if (rest.size() < kLengthBytes + length) {
     return false;
--- a/cactusmast/message.h
+++ b/cactusmast/message.h
@@ -33,8 +33,8 @@
   return made;
 }
 
-// Bumped when an older process could not understand a newer one. New fields
-// do not need it: FlatBuffers readers skip what they do not know.
+// Incremented by a change after which an older process could not understand a
+// newer one. New fields do not need it: FlatBuffers readers skip unknown ones.
 constexpr uint32_t kProtocolVersion = 1;
 
 enum class process_role : uint8_t
@@ -44,12 +44,12 @@
   Count
 };
 
-// How one dispatched task ended.
+// How one attempt at a task ended.
 enum class task_outcome : uint8_t
 {
-  Pending,   // not ended
-  Succeeded, // the backend server answered
-  Failed,    // the backend server reported failure, or it is not known
+  Pending,   // has not ended
+  Succeeded, // the backend server answered with success
+  Failed,    // the backend server reported failure, or nothing is known
   Refused,   // the guard did not start it and never will
   Count
 };
@@ -58,32 +58,32 @@
 enum class task_reason : uint8_t
 {
   None,
-  StaleLease,       // the dispatcher's lease on the guard is not in force
+  StaleLease,       // the dispatch is not covered by a lease in force
   NoSlot,           // all slots are busy
   Withdrawn,        // no backend server is announced for the service
-  Tombstone,        // revoked earlier
-  Budget,           // the guard's record or result budget is spent
+  Tombstone,        // revoked before the dispatch arrived
+  Budget,           // the guard's limit of records or result bytes is reached
   BackendError,     // the backend server answered with a failure
   BackendLost,      // the connection to the backend server broke
   TimedOut,         // the time limit passed
   Cancelled,        // the caller cancelled
-  WorkerLost,       // the worker's process is gone with its records
+  WorkerLost,       // the worker's guard was lost with its records
   ResultGone,       // it ran, but its result is no longer held
   Unsatisfiable,    // no known backend server can run it
-  RetriesExhausted, // refused too often
-  Shed,             // made room for a job of higher priority
+  RetriesExhausted, // the attempts or the retry budget are used up
+  Shed,             // dropped from the queue for a job of higher priority
   Count
 };
 
-// Where a job stands.
 enum class job_state : uint8_t
 {
   Running,
   Complete, // every task succeeded
-  Failed,   // at least one did not
+  Failed,   // at least one task did not succeed
   Count
 };
 
+// What an entry asks the owner of a job's shard for.
 enum class request_kind : uint8_t
 {
   Submit,
@@ -92,19 +92,23 @@
   Count
 };
 
-// A guard's memory of one task.
+// The state of a guard's record of one task.
 enum class record_state : uint8_t
 {
-  Tombstone, // will never start here
+  Tombstone, // revoked: will never start here
   Running,
   Finished,
-  Abandoned, // stands for all of a job's tasks that have no other record
+  // The job was answered with tasks that had not started. The record stands
+  // for all tasks of the job that have no record of their own.
+  Abandoned,
   Count
 };
 
-// The index of a record that stands for a whole job.
+// The task index of a record that stands for a whole job.
 constexpr uint32_t kWholeJob = UINT32_MAX;
 
+// Names for messages and logs; "invalid" for values outside the enumeration,
+// for a message kind the empty string.
 std::string_view
 Name(process_role aRole);
 std::string_view
@@ -124,7 +128,9 @@
 void
 EncodeFrame(const message& aMessage, std::string* aOut);
 
-// Decodes one envelope. Errors: Protocol, with aPeer as the peer.
+// Decodes one envelope, without the length prefix of its frame. The result is
+// of kind NONE for a message that this build does not know. Errors: Protocol,
+// with aPeer as the peer.
 result<message>
 DecodeEnvelope(std::string_view aBytes, const std::string& aPeer);
 
@@ -132,12 +138,13 @@
 result<message>
 DecodeFrame(const std::string& aBytes, const std::string& aPeer);
 
-// Splits a byte stream into frames. A peer that announces a frame over the
-// limit is cut off before any of it is buffered: memory held for one peer
-// never exceeds the limit plus one read.
+// Splits a byte stream into frames. A frame is refused as soon as its length
+// prefix exceeds the limit, before more of it is buffered: the memory held for
+// one peer never exceeds the limit plus one read.
 class frame_reader
 {
 public:
+  // aMaxFrame: in bytes, without the length prefix.
   explicit frame_reader(size_t aMaxFrame)
     : mMaxFrame(aMaxFrame)
   {
@@ -145,14 +152,15 @@
 
   void Append(std::string_view aBytes) { mBuffer.append(aBytes); }
 
-  // True with the next whole frame in aFrame; the view lasts until the next
-  // call. Throws failure(TooLarge) when the announced length is over budget.
+  // Returns true with the next whole frame, without its length prefix, in
+  // aFrame; the view is valid until the next call of a member function. Throws
+  // failure(TooLarge) when the length prefix exceeds the limit.
   bool Next(std::string_view* aFrame);
 
 private:
   size_t mMaxFrame;
   std::string mBuffer;
-  size_t mConsumed = 0;
+  size_t mConsumed = 0; // bytes of mBuffer that Next() has returned
 };
 
 } // namespace cactusmast
--- a/cactusmast/testing/docs_test.cc
+++ b/cactusmast/testing/docs_test.cc
@@ -1,4 +1,4 @@
-// What the docs list must be what the code has.
+// Tables in the docs must agree with those in the code.
 
 #include <doctest/doctest.h>
 #include <fstream>
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("docs/EVENTS.md is the table of events")
+TEST_CASE("docs/EVENTS.md contains the table of events")
 {
   std::string expected;
   for (const event_row& row : EventTable()) {
--- a/cactusmast/testing/message_test.cc
+++ b/cactusmast/testing/message_test.cc
@@ -1,4 +1,4 @@
-// Frames and envelopes, whole, cut and broken.
+// Frames and envelopes: complete, split over several reads, and malformed.
 
 #include <doctest/doctest.h>
 #include <random>
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("a message survives the wire, however its bytes are cut")
+TEST_CASE("messages are decoded however the byte stream is split into reads")
 {
   std::string bytes;
   EncodeFrame(SampleDispatch(), &bytes);
@@ -54,10 +54,11 @@
   CHECK_THROWS_AS(reader.Next(&frame), failure);
 }
 
-TEST_CASE("broken envelopes are errors that name the peer")
+TEST_CASE("malformed envelopes are errors that name the peer")
 {
-  // A peer sends garbage, or a frame is damaged in one place. Whatever it
-  // is, decoding ends with a message or an error, never with a bad read.
+  // A peer sends a frame that is damaged in a few places or truncated.
+  // Decoding must end with a message or an error, never with a read out of
+  // bounds.
   std::string good;
   EncodeFrame(SampleDispatch(), &good);
   std::string_view body = std::string_view(good).substr(4);
