--- a/cactusmast/message.cc
+++ b/cactusmast/message.cc
@@ -153,13 +153,13 @@
     mBuffer.erase(0, mConsumed);
     mConsumed = 0;
   }
-  std::string_view rest = std::string_view(mBuffer).substr(mConsumed);
-  if (rest.size() < kLengthBytes) {
+  std::string_view unread = std::string_view(mBuffer).substr(mConsumed);
+  if (unread.size() < kLengthBytes) {
     return false;
   }
   uint32_t length = 0;
   for (size_t i = 0; i < kLengthBytes; i++) {
-    length |= uint32_t(uint8_t(rest[i])) << (8 * i);
+    length |= uint32_t(uint8_t(unread[i])) << (8 * i);
   }
   if (length > mMaxFrame) {
     throw failure(error_code::TooLarge,
@@ -168,10 +168,10 @@
                   "frame of " + std::to_string(length) +
                     " bytes exceeds the limit of " + std::to_string(mMaxFrame));
   }
-  if (rest.size() < kLengthBytes + length) {
+  if (unread.size() < kLengthBytes + length) {
     return false;
   }
-  *aFrame = rest.substr(kLengthBytes, length);
+  *aFrame = unread.substr(kLengthBytes, length);
   mConsumed += kLengthBytes + length;
   return true;
 }
--- a/cactusmast/message.h
+++ b/cactusmast/message.h
@@ -28,9 +28,9 @@
 message
 MakeMessage(T aBody)
 {
-  message made;
-  made.Set(std::move(aBody));
-  return made;
+  message wrapped;
+  wrapped.Set(std::move(aBody));
+  return wrapped;
 }
 
 // Incremented by a change after which an older process could not understand a
--- a/cactusmast/testing/docs_test.cc
+++ b/cactusmast/testing/docs_test.cc
@@ -39,10 +39,11 @@
   std::string text = ReadText("docs/API.md");
   for (uint8_t i = 1; i < uint8_t(error_code::Count); i++) {
     auto code = error_code(i);
-    bool inside = code == error_code::Protocol || code == error_code::Internal;
+    bool internal =
+      code == error_code::Protocol || code == error_code::Internal;
     std::string row = "| " + std::string(Name(code)) + " | " +
                       std::to_string(HttpStatus(code)) + " |";
-    CHECK_MESSAGE((inside || text.find(row) != std::string::npos), row);
+    CHECK_MESSAGE((internal || text.find(row) != std::string::npos), row);
   }
 }
 
--- a/cactusmast/testing/message_test.cc
+++ b/cactusmast/testing/message_test.cc
@@ -32,8 +32,8 @@
   for (size_t chunk = 1; chunk < bytes.size(); chunk += 7) {
     frame_reader reader(1 << 20);
     int messages = 0;
-    for (size_t at = 0; at < bytes.size(); at += chunk) {
-      reader.Append(std::string_view(bytes).substr(at, chunk));
+    for (size_t offset = 0; offset < bytes.size(); offset += chunk) {
+      reader.Append(std::string_view(bytes).substr(offset, chunk));
       std::string_view frame;
       while (reader.Next(&frame)) {
         result<message> decoded = DecodeEnvelope(frame, "peer");
@@ -59,20 +59,20 @@
   // A peer sends a frame that is damaged in a few places or truncated.
   // Decoding must end with a message or an error, never with a read out of
   // bounds.
-  std::string good;
-  EncodeFrame(SampleDispatch(), &good);
-  std::string_view body = std::string_view(good).substr(4);
+  std::string encoded;
+  EncodeFrame(SampleDispatch(), &encoded);
+  std::string_view body = std::string_view(encoded).substr(4);
   std::mt19937 random(3);
   int errors = 0;
   for (int i = 0; i < 20000; i++) {
-    std::string bad(body);
+    std::string damaged(body);
     for (int flips = 1 + int(random() % 4); flips > 0; flips--) {
-      bad[random() % bad.size()] = char(random());
+      damaged[random() % damaged.size()] = char(random());
     }
     if (random() % 4 == 0) {
-      bad.resize(random() % bad.size());
+      damaged.resize(random() % damaged.size());
     }
-    result<message> decoded = DecodeEnvelope(bad, "peer-9");
+    result<message> decoded = DecodeEnvelope(damaged, "peer-9");
     if (!decoded.Ok()) {
       errors++;
       CHECK(decoded.Error().Peer() == "peer-9");
