--- a/cactusmast/table_watcher.cc
+++ b/cactusmast/table_watcher.cc
@@ -7,9 +7,9 @@
 
 using std::chrono::milliseconds;
 
-// Retries begin fast, since a lost answer is the most frequent fault, and slow
-// down to spare a store in trouble. The longest pause is what a change may be
-// late by when the store returns; a change has to be in force after 2 s.
+// Retries begin fast, because a lost reply is the most frequent fault, and slow
+// down to relieve a failing store. The maximum delays a change after the
+// store has returned; a change must be in force within 2 s.
 constexpr duration kMinBackoff = milliseconds(50);
 constexpr duration kMaxBackoff = milliseconds(400);
 
@@ -56,8 +56,8 @@
   if (aAnswer.mStatus != store_status::Ok) {
     mNextTry = mNow + mBackoff;
     mBackoff = std::min(kMaxBackoff, mBackoff * 2);
-    // The table is read whole after any fault: a watch that went silent may
-    // have missed changes, and this costs one small read.
+    // A snapshot is read after any fault: a wait that got no reply may have
+    // missed changes, and this costs only one small read.
     mHaveVersion = false;
     if (mAvailable && aAnswer.mStatus == store_status::Unavailable) {
       mAvailable = false;
@@ -76,8 +76,8 @@
   mBackoff = kMinBackoff;
   mNextTry = mNow;
   mOnChange({ aAnswer.mRows, aAnswer.mVersion, aWhole && !aAnswer.mMore });
-  // A whole read may be of an earlier state than what was seen before. Going
-  // on from the version that it names repeats changes but misses none.
+  // A snapshot may be older than what was read before. Continuing from its
+  // version repeats changes but misses none.
   mVersion = aWhole ? aAnswer.mVersion : std::max(mVersion, aAnswer.mVersion);
   mHaveVersion = true;
 }
--- a/cactusmast/table_watcher.h
+++ b/cactusmast/table_watcher.h
@@ -1,10 +1,11 @@
-// Follows one table of the platform's store: reads it whole, then waits for
-// changes from the version read.
+// Follows one table of the platform's store: reads a snapshot of it, then waits
+// for changes after the version of the snapshot.
 //
-// The store may be away, slow, silent or may have dropped its history; each of
-// these leads back to reading the table whole, after a pause. Rows are handed
-// on as they come; whoever takes them must bear old ones, because a store that
-// recovers may show an earlier state for a while.
+// The store may be unavailable or slow, may not reply at all, or may have
+// deleted its history. After each of these faults the watcher backs off and
+// reads a new snapshot. Rows are passed on as they arrive. The handler must
+// tolerate old ones, because a store that recovers may return an earlier state
+// for a while.
 
 #ifndef CACTUSMAST_TABLE_WATCHER_H_
 #define CACTUSMAST_TABLE_WATCHER_H_
@@ -22,15 +23,17 @@
 {
   std::string mKey;
   std::string mValue;
-  bool mDeleted = false;
-  std::string mPart; // of the table, written independently of the others
+  bool mDeleted = false; // the row was deleted, or is to be
+  // The partition of the table; partitions are written independently of each
+  // other. Empty for tables with only one; not set in replies.
+  std::string mPart;
 };
 
 enum class store_status : uint8_t
 {
   Ok,
-  HistoryGone, // changes since the given version are no longer known
-  Unavailable,
+  HistoryGone, // changes since the given version are no longer stored
+  Unavailable, // no reply, or none that could be read
   Count
 };
 
@@ -38,35 +41,37 @@
 {
   store_status mStatus = store_status::Unavailable;
   std::vector<store_row> mRows;
-  uint64_t mVersion = 0;
-  bool mMore = false; // a part was read of which there are further rows
-  std::string mText;  // of the fault
+  uint64_t mVersion = 0; // of the store at the time of the reply
+  bool mMore = false;    // the partition has rows beyond those in mRows
+  std::string mText;     // describes the fault; empty for Ok
 };
 
-// What a table_watcher hands on.
+// What a table_watcher passes to its handler.
 struct table_change
 {
   const std::vector<store_row>& mRows;
-  uint64_t mVersion = 0; // of the store, as of which the rows are known
-  bool mWhole = false;   // there are no rows beside these
+  uint64_t mVersion = 0; // of the store when the rows were read
+  bool mWhole = false;   // a snapshot: the table has no other rows
 };
 
-// The store as a watcher and a writer of single rows see it.
+// The platform's store, as far as table_watcher and stored_row need it.
 class metadata_store
 {
 public:
   using callback = std::function<void(const store_reply&)>;
   virtual ~metadata_store() = default;
-  // One part of a table; most tables have only the one without a name.
+  // Reads one partition of a table; most tables have only the one whose name
+  // is empty.
   virtual void ReadPart(const std::string& aTable,
                         const std::string& aPart,
                         callback aDone) = 0;
-  // Answers as soon as something changed after aVersion, at the latest after
-  // aWaitMs.
+  // Replies as soon as a row has changed after aVersion, and after aWaitMs at
+  // the latest.
   virtual void WaitForChange(const std::string& aTable,
                              uint64_t aVersion,
                              uint32_t aWaitMs,
                              callback aDone) = 0;
+  // Writes aRow, or deletes it if mDeleted is set, whatever its version.
   virtual void PutRow(const std::string& aTable,
                       const store_row& aRow,
                       callback aDone) = 0;
@@ -83,7 +88,10 @@
                 change_handler aOnChange,
                 event_sink& aEvents);
 
+  // Sends the next request, unless one is outstanding or backoff has not
+  // passed.
   void Tick(instant aNow);
+  // False from a reply of Unavailable until the next Ok.
   bool Available() const { return mAvailable; }
 
 private:
@@ -94,9 +102,10 @@
   metadata_store& mStore;
   change_handler mOnChange;
   event_sink& mEvents;
-  bool mWaiting = false; // for an answer
+  bool mWaiting = false; // for a reply
+  // False until a snapshot was read, and again after a fault.
   bool mHaveVersion = false;
-  uint64_t mVersion = 0;
+  uint64_t mVersion = 0; // changes after this version are waited for
   bool mAvailable = true;
   bool mEverAnswered = false;
   instant mNow{};
