--- a/cactusmast/table_watcher.cc
+++ b/cactusmast/table_watcher.cc
@@ -33,52 +33,52 @@
 table_watcher::Tick(instant aNow)
 {
   mNow = aNow;
-  if (mWaiting || aNow < mNextTry) {
+  if (mReplyPending || aNow < mNextRequest) {
     return;
   }
-  mWaiting = true;
+  mReplyPending = true;
   if (mHaveVersion) {
     mStore.WaitForChange(
-      mTable, mVersion, mWaitMs, [this](const store_reply& aAnswer) {
-        OnAnswer(aAnswer, false);
+      mTable, mVersion, mWaitMs, [this](const store_reply& aReply) {
+        OnReply(aReply, false);
       });
   } else {
-    mStore.ReadPart(mTable, "", [this](const store_reply& aAnswer) {
-      OnAnswer(aAnswer, true);
-    });
+    mStore.ReadPart(
+      mTable, "", [this](const store_reply& aReply) { OnReply(aReply, true); });
   }
 }
 
 void
-table_watcher::OnAnswer(const store_reply& aAnswer, bool aWhole)
+table_watcher::OnReply(const store_reply& aReply, bool aIsSnapshot)
 {
-  mWaiting = false;
-  if (aAnswer.mStatus != store_status::Ok) {
-    mNextTry = mNow + mBackoff;
+  mReplyPending = false;
+  if (aReply.mStatus != store_status::Ok) {
+    mNextRequest = mNow + mBackoff;
     mBackoff = std::min(kMaxBackoff, mBackoff * 2);
     // A snapshot is read after any fault: a wait that got no reply may have
     // missed changes, and this costs only one small read.
     mHaveVersion = false;
-    if (mAvailable && aAnswer.mStatus == store_status::Unavailable) {
+    if (mAvailable && aReply.mStatus == store_status::Unavailable) {
       mAvailable = false;
       mEvents.Emit(event_code::TableUnavailable,
-                   { { "table", mTable }, { "text", aAnswer.mText } });
+                   { { "table", mTable }, { "text", aReply.mText } });
     }
     return;
   }
-  if (!mAvailable || !mEverAnswered) {
+  if (!mAvailable || !mHasReplied) {
     mEvents.Emit(
       event_code::TableAvailable,
-      { { "table", mTable }, { "version", std::to_string(aAnswer.mVersion) } });
+      { { "table", mTable }, { "version", std::to_string(aReply.mVersion) } });
   }
   mAvailable = true;
-  mEverAnswered = true;
+  mHasReplied = true;
   mBackoff = kMinBackoff;
-  mNextTry = mNow;
-  mOnChange({ aAnswer.mRows, aAnswer.mVersion, aWhole && !aAnswer.mMore });
+  mNextRequest = mNow;
+  mOnChange({ aReply.mRows, aReply.mVersion, aIsSnapshot && !aReply.mMore });
   // A snapshot may be older than what was read before. Continuing from its
   // version repeats changes but misses none.
-  mVersion = aWhole ? aAnswer.mVersion : std::max(mVersion, aAnswer.mVersion);
+  mVersion =
+    aIsSnapshot ? aReply.mVersion : std::max(mVersion, aReply.mVersion);
   mHaveVersion = true;
 }
 
--- a/cactusmast/table_watcher.h
+++ b/cactusmast/table_watcher.h
@@ -95,21 +95,21 @@
   bool Available() const { return mAvailable; }
 
 private:
-  void OnAnswer(const store_reply& aAnswer, bool aWhole);
+  void OnReply(const store_reply& aReply, bool aIsSnapshot);
 
   std::string mTable;
   uint32_t mWaitMs;
   metadata_store& mStore;
   change_handler mOnChange;
   event_sink& mEvents;
-  bool mWaiting = false; // for a reply
+  bool mReplyPending = false;
   // False until a snapshot was read, and again after a fault.
   bool mHaveVersion = false;
   uint64_t mVersion = 0; // changes after this version are waited for
   bool mAvailable = true;
-  bool mEverAnswered = false;
+  bool mHasReplied = false;
   instant mNow{};
-  instant mNextTry{};
+  instant mNextRequest{};
   duration mBackoff{};
 };
 
