--- a/cactusmast/guard_node.cc
+++ b/cactusmast/guard_node.cc
@@ -9,8 +9,8 @@
 
 using std::chrono::milliseconds;
 
-// After a pause, what the backend server sent meanwhile is read first, before
-// its tasks or its announcement are taken to have run out of time.
+// After a pause of this process, tasks and the announcement do not time out for
+// this long, so that what the backend server sent meanwhile is read first.
 constexpr milliseconds kPauseGrace{ 1000 };
 constexpr milliseconds kConnectInterval{ 700 };
 constexpr uint32_t kMaxEntries = 64;
@@ -57,8 +57,8 @@
   SendState(aPeer);
 }
 
-// An entry that connects anew has given its old link up, even if this end has
-// not been told yet.
+// An entry that connects again has closed its old link, even if this end does
+// not know that yet.
 void
 guard_node::DropOlderLinks(const peer_identity& aIdentity)
 {
@@ -86,20 +86,20 @@
                { { "peer", PeerName(found->second.mIdentity) } });
   mPeers.erase(found);
   if (IsHolder(aPeer)) {
-    // Most likely the owner's process died. Its successor need not wait for
-    // the lease to end: whatever the old owner still sends carries an old
-    // epoch then, and is refused.
+    // Most likely the owner's process has died. Its successor need not wait
+    // until the lease expires: once it holds the lease, anything that the old
+    // owner still sends carries an old epoch and is refused.
     mHolder = 0;
     mLeaseEnd = std::min(mLeaseEnd, aNow);
   }
 }
 
-// A process that was stopped for a while finds, on waking, messages in its
-// sockets that were sent to it a minute ago. A renewal among them would look
-// fresh and let the dispatches behind it start, long after their sender has
-// given them up. Nothing that came before or during a pause longer than the
-// lease may be believed, so all links are replaced: the peers' present state
-// arrives over the new ones.
+// A process that was paused, for example for a minute, finds messages of that
+// minute in its sockets when it resumes. A renewal among them would extend the
+// lease, and dispatches behind it would start long after their sender has given
+// them up. After a pause longer than the lease, nothing that arrived before or
+// during it can be trusted, so all links are replaced. The peers send their
+// present state over the new ones.
 void
 guard_node::NoticePause(instant aNow)
 {
@@ -243,7 +243,7 @@
     return;
   }
   if (mHandOverSent) {
-    // The owner has taken the records over: this guard may stop.
+    // The owner has taken over the records, so this guard may stop.
     mRecordsHandedOver = true;
     mRecordsKept = aRelease.records_kept;
     BroadcastState();
@@ -258,8 +258,8 @@
 void
 guard_node::OnConfig(const wire::config_push_msg& aPush)
 {
-  // A peer that was cut off may still push an old version; taking it would
-  // undo an accepted change.
+  // A peer that was disconnected from the others may still push an old version.
+  // Applying it would undo an accepted change.
   if (mSafeguards.mMonotonicConfig) {
     if (!mVersionTried) {
       if (aPush.version > mOffered.version) {
@@ -338,7 +338,10 @@
 guard_node::Announce(const backend_announcement& aBackend, instant aNow)
 {
   if (mDraining) {
-    throw failure(error_code::Draining, "announce", mOptions.mName, "stopping");
+    throw failure(error_code::Draining,
+                  "announce",
+                  mOptions.mName,
+                  "the guard is draining");
   }
   bool changed = !mAnnounced || mBackend.mServices != aBackend.mServices ||
                  mBackend.mSlots != aBackend.mSlots ||
@@ -401,11 +404,11 @@
   }
 }
 
-// Replaces links over which nothing came for long: something between the two
-// ends may have lost track of them, which neither end is ever told. Entries
-// send their status on every link well within this time. A guard without an
-// owner does not wait that long: an owner may be trying to reach it over a
-// link that only seems to be open.
+// Replaces links over which nothing arrived for the link timeout: a device
+// between the two ends may have lost their state, and neither end is told.
+// Entries send their status on every link well within this time. The timeout
+// is shorter while no entry holds the lease, because an owner may be trying to
+// reach the guard over a link that only seems to be open.
 void
 guard_node::DropSilentLinks(instant aNow)
 {
@@ -453,8 +456,9 @@
   }
   ExpireRecords(aNow);
   if (mLeaseHeld && aNow >= mLeaseEnd) {
-    // The holder fell silent, perhaps over a dead link: replace the link, so
-    // that either it or its successor can reach this guard.
+    // The holder has not renewed in time, perhaps because the link is dead.
+    // The link is replaced, so that the holder or its successor can reach this
+    // guard.
     mLeaseHeld = false;
     mEvents.Emit(event_code::LeaseExpired, { { "peer", mHolderName } });
     if (mHolder != 0) {
--- a/cactusmast/guard_node.h
+++ b/cactusmast/guard_node.h
@@ -9,17 +9,17 @@
 // Anything else is refused, and a refused task is one that never started and
 // never will under that dispatch.
 //
-// The guard remembers every task it started, with its result, for the
-// retention time. These records are what makes "at most once" survive the
-// loss of an entry: a new owner is granted the lease together with the
-// records, and asks here before it starts anything again. Epochs only grow,
-// so once the new owner holds the lease, nothing that the old one still sends
-// can start. A task that the owner asks about and the guard has never seen is
-// recorded as revoked (a tombstone), so that a dispatch that is still under
-// way cannot start later.
+// The guard keeps a record of every task it started, with its result, for the
+// retention time. These records ensure that a task starts at most once even
+// when an entry is lost: a new owner is granted the lease together with the
+// records, and asks the guard before it starts a task again. Epochs only grow,
+// so once the new owner holds the lease, no dispatch of the old one starts
+// anything. A task that the owner asks about and the guard has never seen is
+// recorded as revoked (a tombstone), so that a dispatch that is still in
+// transit cannot start it later.
 //
-// Everything is bounded: slots, records, result bytes. When the records are
-// full the guard refuses to start rather than forget.
+// Slots, records and result bytes are bounded. When the records are full, the
+// guard refuses new tasks rather than delete a record early.
 
 #ifndef CACTUSMAST_GUARD_NODE_H_
 #define CACTUSMAST_GUARD_NODE_H_
@@ -40,20 +40,21 @@
 {
   std::string mName;
   uint32_t mShard = 0;
-  // Entries to try before the table has told which there are.
+  // Addresses of entries to connect to until the table's list was read.
   std::vector<std::string> mSeedEntries;
-  // The holder must renew within this time.
+  // A lease expires this long after it was last granted or renewed.
   duration mLease = std::chrono::milliseconds(2500);
-  // How long starts and results are remembered after their end.
+  // How long records are kept after their task has ended.
   duration mRetention = std::chrono::minutes(5);
   uint32_t mMaxRecords = 100000;
   uint64_t mMaxResultBytes = 24u << 20;
-  // Announcements not renewed for this long end.
+  // An announcement expires this long after it was last renewed.
   duration mAnnouncementLife = std::chrono::seconds(2);
-  // Links over which nothing came for this long are replaced.
+  // Links over which nothing arrived for this long are replaced.
   duration mLinkTimeout = std::chrono::seconds(45);
   // The same while no entry holds the lease.
   duration mUnleasedLinkTimeout = std::chrono::seconds(4);
+  // Between reads of the table's list of entries.
   duration mTableInterval = std::chrono::seconds(30);
 };
 
@@ -61,20 +62,20 @@
 // without each of them. Always on in daemons.
 struct guard_safeguards
 {
-  bool mCheckEpoch = true;
-  bool mCheckExpiry = true;
-  bool mTombstones = true;
-  bool mDeduplicate = true;
-  bool mMonotonicConfig = true;
-  bool mRefuseWithdrawn = true;
-  bool mDropLinksAfterPause = true;
+  bool mCheckEpoch = true;          // refuse dispatches not from the holder
+  bool mCheckExpiry = true;         // refuse dispatches after the lease's end
+  bool mTombstones = true;          // record revoked tasks
+  bool mDeduplicate = true;         // ignore dispatches of recorded tasks
+  bool mMonotonicConfig = true;     // ignore older configurations
+  bool mRefuseWithdrawn = true;     // refuse while nothing is announced
+  bool mDropLinksAfterPause = true; // after this process was paused
 };
 
 struct backend_announcement
 {
   std::string mUrl;
   std::vector<std::string> mServices;
-  uint32_t mSlots = 0;
+  uint32_t mSlots = 0; // tasks that may run at a time
   uint32_t mCpus = 0;
   uint32_t mMemoryMb = 0;
   uint32_t mAccelerators = 0;
@@ -88,13 +89,14 @@
   std::string mPayload;
 };
 
-// The backend server as the guard drives it.
+// The guard's connection to its backend server.
 class backend_port
 {
 public:
   virtual ~backend_port() = default;
+  // Calls guard_node::OnTaskEnded when the task has ended.
   virtual void Start(const task_start& aTask) = 0;
-  // Best effort; OnTaskEnded is still expected to follow or not at all.
+  // Best effort. OnTaskEnded may or may not follow.
   virtual void Cancel(const task_ref& aRef) = 0;
 };
 
@@ -107,6 +109,7 @@
   std::string mOutput;
 };
 
+// Counts of tasks since the guard started.
 struct guard_counters
 {
   uint64_t mStarted = 0;
@@ -131,16 +134,20 @@
   void OnMessage(peer_id aPeer, const message& aMessage, instant aNow);
   void OnTableReply(const table_reply& aReply, instant aNow);
 
-  // Announces or renews. Throws failure(Draining) during a planned stop.
+  // Announces the backend server or renews its announcement. Throws
+  // failure(Draining) while the guard drains.
   void Announce(const backend_announcement& aBackend, instant aNow);
   void Withdraw(instant aNow);
+  // Ignored for tasks that are not running.
   void OnTaskEnded(const task_completion& aEnd, instant aNow);
 
   void Tick(instant aNow);
 
-  // A planned stop: nothing new starts; running tasks finish, their results
-  // are acknowledged and the records handed to the owner.
+  // From now on nothing new starts. Running tasks finish, their results are
+  // acknowledged and the records are handed over to the owner.
   void BeginDrain(instant aNow);
+  // True once nothing runs and the owner has confirmed the handover; without
+  // records there is nothing to hand over.
   bool IsDrained() const;
 
   uint64_t ConfigVersion() const { return mConfig.mVersion; }
@@ -164,11 +171,11 @@
   struct record
   {
     record_state mState = record_state::Running;
-    bool mAcked = false;
-    bool mHasResult = false;
+    bool mAcked = false;     // the owner has the result, or none will be sent
+    bool mHasResult = false; // mResult holds the output
     instant mStarted{};
     instant mTimeoutAt{};
-    instant mEnded{};
+    instant mEnded{}; // when it ended or was revoked; 0 while it runs
     wire::task_result_msg mResult;
   };
 
@@ -238,44 +245,46 @@
   std::map<peer_id, peer_row> mPeers;
   std::vector<std::string> mEntries; // addresses
 
-  // The lease. mEpoch never decreases.
-  peer_id mHolder = 0;
+  // The lease. mEpoch never decreases. The holder's name and incarnation
+  // outlast its link, so that it can renew over a new one.
+  peer_id mHolder = 0; // 0: the holder is not connected, or there is none
   std::string mHolderName;
   uint64_t mHolderIncarnation = 0;
   uint64_t mEpoch = 0;
   instant mLeaseEnd{};
-  bool mLeaseHeld = false;
-  uint64_t mSequence = 0; // of the holder's latest message, echoed back
+  bool mLeaseHeld = false; // until it is released or Tick sees it expired
+  uint64_t mSequence = 0;  // of the holder's latest message, echoed back
 
   record_map mRecords;
-  std::deque<ended_row> mEndedOrder;
-  std::deque<task_ref> mResultOrder; // for the byte budget
-  uint64_t mResultBytes = 0;
+  std::deque<ended_row> mEndedOrder; // oldest first, for the retention time
+  std::deque<task_ref> mResultOrder; // oldest first, for mMaxResultBytes
+  uint64_t mResultBytes = 0;         // of the outputs held in mRecords
   std::map<instant, std::vector<task_ref>> mTimeouts;
   uint32_t mRunning = 0;
-  std::vector<wire::task_result_msg> mOutbox; // to the holder
+  std::vector<wire::task_result_msg> mOutbox; // to be sent to the holder
 
   backend_announcement mBackend;
   bool mAnnounced = false;
   instant mAnnouncementEnd{};
 
   deployment_config mConfig;
-  // A new guard knows no version, and would believe a peer that lags. It asks
-  // the table once; until that is answered, the newest offer waits.
-  uint64_t mVersionRequest = 0;
+  // A new guard knows no version and would accept an old configuration from a
+  // peer that lags behind. It reads the version from the table once and holds
+  // the newest configuration that was pushed until any reply arrives.
+  uint64_t mVersionRequest = 0; // 0: none is outstanding
   bool mVersionTried = false;
-  uint64_t mTableVersion = 0;
+  uint64_t mTableVersion = 0; // 0: not known
   wire::config_push_msg mOffered;
   guard_counters mCounters;
-  uint64_t mTableRequest = 0;
+  uint64_t mTableRequest = 0; // for the list of entries; 0: none outstanding
   instant mNextTableRead{};
   instant mNextConnect{};
-  instant mLastActive{};
-  instant mGraceUntil{};
+  instant mLastActive{}; // when a peer or Tick last called; 0: never yet
+  instant mGraceUntil{}; // tasks and the announcement do not time out before
   bool mDraining = false;
-  bool mRecordsHandedOver = false;
-  bool mRecordsKept = false;
-  bool mHandOverSent = false;
+  bool mRecordsHandedOver = false; // confirmed by the owner
+  bool mRecordsKept = false;       // other guards hold copies of them
+  bool mHandOverSent = false;      // to the present holder, over this link
 };
 
 } // namespace cactusmast
--- a/cactusmast/guard_tasks.cc
+++ b/cactusmast/guard_tasks.cc
@@ -1,5 +1,5 @@
-// The guard's tasks and its records of them: starts, ends, results and what is
-// remembered. Links, lease and drain are in guard_node.cc.
+// The guard's tasks and its records of them: starts, ends, results and
+// retention. Links, lease and drain are in guard_node.cc.
 
 #include <algorithm>
 #include <string>
@@ -11,8 +11,8 @@
 
 using std::chrono::milliseconds;
 
-// Records are sent in messages of at most this many, far below any frame
-// limit.
+// At most this many records go into one message, which stays far below any
+// frame limit.
 constexpr size_t kRecordsPerMessage = 20000;
 
 } // namespace
@@ -165,7 +165,7 @@
   auto found = mRecords.find(aEnd.mRef);
   if (found == mRecords.end() ||
       found->second.mState != record_state::Running) {
-    return; // timed out or cancelled before, and answered then
+    return; // timed out or cancelled before, and reported then
   }
   record& row = found->second;
   wire::task_result_msg& made = row.mResult;
@@ -189,8 +189,8 @@
   } else {
     mCounters.mFailed++;
   }
-  // A task that the backend server never received stays out of its reach for
-  // good, so that the owner may start it elsewhere.
+  // A task that the backend server did not start becomes a tombstone, so that
+  // it never starts here and the owner may start it elsewhere.
   aRecord.mState = started ? record_state::Finished : record_state::Tombstone;
   aRecord.mHasResult = started;
   mResultBytes += started ? aRecord.mResult.output.size() : 0;
@@ -200,8 +200,8 @@
   TrimResults();
 }
 
-// Drops the oldest acknowledged outputs when their bytes are over budget. A
-// result that was never acknowledged is kept: nobody else has it.
+// Deletes the oldest outputs while their bytes exceed the limit. Stops at a
+// result that was not acknowledged, because no other process has it.
 void
 guard_node::TrimResults()
 {
@@ -255,7 +255,7 @@
                      instant aNow)
 {
   if (!IsHolder(aPeer) || aSettle.epoch != mEpoch) {
-    return; // only the holder may revoke; it will ask again after its claim
+    return; // only the holder may revoke; others ask again once they hold it
   }
   wire::settle_reply_msg reply;
   for (const task_ref& ref : aSettle.refs) {
@@ -293,8 +293,8 @@
   }
 }
 
-// The owner answered a job with tasks that had not started. Should it fail, the
-// next owner learns from this record that the answer is out.
+// The owner answered a job with tasks that had not started. If it fails, the
+// next owner learns from this record that the job has been answered.
 void
 guard_node::OnAbandon(const wire::abandon_msg& aAbandon, instant aNow)
 {
@@ -335,8 +335,8 @@
   }
 }
 
-// Keeps the start records of a guard that stopped as planned. They hold no
-// results, but show a later owner that the tasks were started.
+// Copies the start records of a guard that was drained. They hold no results,
+// but show a later owner that the tasks were started.
 void
 guard_node::AddRecordCopies(const wire::records_msg& aRecords, instant aNow)
 {
@@ -405,7 +405,7 @@
 guard_node::FlushResults()
 {
   if (mOutbox.empty() || mHolder == 0) {
-    return; // kept as unacknowledged records until the next holder
+    return; // the records stay unacknowledged; the next holder gets them
   }
   wire::results_msg batch;
   batch.epoch = mEpoch;
