--- a/cactusmast/guard_node.cc
+++ b/cactusmast/guard_node.cc
@@ -35,7 +35,7 @@
   , mBackendPort(aBackend)
   , mEvents(aEvents)
   , mSafeguards(aSafeguards)
-  , mEntries(mOptions.mSeedEntries)
+  , mEntryAddresses(mOptions.mSeedEntries)
 {
 }
 
@@ -50,8 +50,8 @@
                      const peer_identity& aIdentity,
                      instant aNow)
 {
-  NoticePause(aNow);
-  DropOlderLinks(aIdentity);
+  CheckPause(aNow);
+  CloseOlderLinks(aIdentity);
   mPeers[aPeer] = peer_row{ aIdentity, aNow };
   mEvents.Emit(event_code::PeerUp, { { "peer", PeerName(aIdentity) } });
   SendState(aPeer);
@@ -60,18 +60,18 @@
 // An entry that connects again has closed its old link, even if this end does
 // not know that yet.
 void
-guard_node::DropOlderLinks(const peer_identity& aIdentity)
+guard_node::CloseOlderLinks(const peer_identity& aIdentity)
 {
-  for (auto entry = mPeers.begin(); entry != mPeers.end();) {
-    if (entry->second.mIdentity.mName != aIdentity.mName) {
-      ++entry;
+  for (auto link = mPeers.begin(); link != mPeers.end();) {
+    if (link->second.mIdentity.mName != aIdentity.mName) {
+      ++link;
       continue;
     }
-    mNetwork.Close(entry->first);
-    if (IsHolder(entry->first)) {
+    mNetwork.Close(link->first);
+    if (IsHolder(link->first)) {
       mHolder = 0;
     }
-    entry = mPeers.erase(entry);
+    link = mPeers.erase(link);
   }
 }
 
@@ -101,7 +101,7 @@
 // during it can be trusted, so all links are replaced. The peers send their
 // present state over the new ones.
 void
-guard_node::NoticePause(instant aNow)
+guard_node::CheckPause(instant aNow)
 {
   duration idle = aNow - mLastActive;
   bool first = mLastActive.count() == 0;
@@ -123,7 +123,7 @@
 void
 guard_node::OnMessage(peer_id aPeer, const message& aMessage, instant aNow)
 {
-  NoticePause(aNow);
+  CheckPause(aNow);
   auto found = mPeers.find(aPeer);
   if (found == mPeers.end()) {
     return;
@@ -179,9 +179,9 @@
                            const wire::lease_request_msg& aRequest,
                            instant aNow)
 {
-  const peer_identity& who = mPeers[aPeer].mIdentity;
-  bool sameOwner =
-    mHolderIncarnation == who.mIncarnation && mHolderName == who.mName;
+  const peer_identity& requester = mPeers[aPeer].mIdentity;
+  bool sameOwner = mHolderIncarnation == requester.mIncarnation &&
+                   mHolderName == requester.mName;
   bool free = !Leased(aNow);
   bool granted = false;
   if (sameOwner && mHolderIncarnation != 0 && aRequest.epoch >= mEpoch) {
@@ -193,15 +193,15 @@
     mSequence = aRequest.sequence;
     granted = true;
     if (newLink) {
-      ResendUnacked();
-      mHandOverSent = false;
+      RequeueUnacked();
+      mHandoverSent = false;
     }
   } else if (free && aRequest.epoch > mEpoch) {
-    GrantTo(aPeer, aRequest, aNow);
+    GrantLease(aPeer, aRequest, aNow);
     granted = true;
   } else {
     mEvents.Emit(event_code::LeaseRefused,
-                 { { "peer", PeerName(who) },
+                 { { "peer", PeerName(requester) },
                    { "epoch", std::to_string(aRequest.epoch) },
                    { "held_epoch", std::to_string(mEpoch) } });
   }
@@ -215,24 +215,24 @@
 }
 
 void
-guard_node::GrantTo(peer_id aPeer,
-                    const wire::lease_request_msg& aRequest,
-                    instant aNow)
+guard_node::GrantLease(peer_id aPeer,
+                       const wire::lease_request_msg& aRequest,
+                       instant aNow)
 {
-  const peer_identity& who = mPeers[aPeer].mIdentity;
+  const peer_identity& requester = mPeers[aPeer].mIdentity;
   mEpoch = aRequest.epoch;
   mHolder = aPeer;
-  mHolderName = who.mName;
-  mHolderIncarnation = who.mIncarnation;
+  mHolderName = requester.mName;
+  mHolderIncarnation = requester.mIncarnation;
   mLeaseHeld = true;
   mLeaseEnd = aNow + mOptions.mLease;
   mSequence = aRequest.sequence;
-  mHandOverSent = false;
+  mHandoverSent = false;
   mEvents.Emit(
     event_code::LeaseGranted,
-    { { "peer", PeerName(who) }, { "epoch", std::to_string(mEpoch) } });
+    { { "peer", PeerName(requester) }, { "epoch", std::to_string(mEpoch) } });
   SendRecords(aPeer, false);
-  ResendUnacked();
+  RequeueUnacked();
 }
 
 void
@@ -242,7 +242,7 @@
   if (!IsHolder(aPeer) || aRelease.epoch != mEpoch) {
     return;
   }
-  if (mHandOverSent) {
+  if (mHandoverSent) {
     // The owner has taken over the records, so this guard may stop.
     mRecordsHandedOver = true;
     mRecordsKept = aRelease.records_kept;
@@ -261,9 +261,9 @@
   // A peer that was disconnected from the others may still push an old version.
   // Applying it would undo an accepted change.
   if (mSafeguards.mMonotonicConfig) {
-    if (!mVersionTried) {
-      if (aPush.version > mOffered.version) {
-        mOffered = aPush;
+    if (!mVersionReadDone) {
+      if (aPush.version > mPushedConfig.version) {
+        mPushedConfig = aPush;
       }
       return;
     }
@@ -287,7 +287,7 @@
 guard_node::OnPeerStatus(const wire::peer_status_msg& aStatus)
 {
   if (!aStatus.entries.empty()) {
-    mEntries = aStatus.entries;
+    mEntryAddresses = aStatus.entries;
   }
 }
 
@@ -316,21 +316,21 @@
     }
   }
   if (!entries.empty()) {
-    mEntries = entries;
+    mEntryAddresses = entries;
   }
 }
 
 void
 guard_node::OnVersionRead(const table_reply& aReply)
 {
-  mVersionTried = true;
+  mVersionReadDone = true;
   for (const table_row& row : aReply.mRows) {
     mTableVersion = std::strtoull(row.mValue.c_str(), nullptr, 10);
   }
-  if (mOffered.version > 0) {
-    wire::config_push_msg offered = std::move(mOffered);
-    mOffered = wire::config_push_msg();
-    OnConfig(offered);
+  if (mPushedConfig.version > 0) {
+    wire::config_push_msg pushed = std::move(mPushedConfig);
+    mPushedConfig = wire::config_push_msg();
+    OnConfig(pushed);
   }
 }
 
@@ -351,7 +351,7 @@
   bool appeared = !mAnnounced || mBackend.mUrl != aBackend.mUrl;
   mBackend = aBackend;
   mAnnounced = true;
-  mAnnouncementEnd = aNow + mOptions.mAnnouncementLife;
+  mAnnouncementEnd = aNow + mOptions.mAnnouncementTimeout;
   if (appeared) {
     mEvents.Emit(event_code::BackendAnnounced,
                  { { "peer", aBackend.mUrl },
@@ -363,7 +363,7 @@
 }
 
 void
-guard_node::EndBackend(event_code aCode)
+guard_node::EndAnnouncement(event_code aCode)
 {
   if (!mAnnounced) {
     return;
@@ -376,15 +376,15 @@
 void
 guard_node::Withdraw(instant /*aNow*/)
 {
-  EndBackend(event_code::BackendWithdrawn);
+  EndAnnouncement(event_code::BackendWithdrawn);
 }
 
 void
 guard_node::SendState(peer_id aPeer)
 {
   wire::worker_state_msg state;
-  bool open = mAnnounced && !mDraining;
-  state.slots = open ? mBackend.mSlots : 0;
+  bool accepting = mAnnounced && !mDraining;
+  state.slots = accepting ? mBackend.mSlots : 0;
   state.services = mBackend.mServices;
   state.cpus = mBackend.mCpus;
   state.memory_mb = mBackend.mMemoryMb;
@@ -410,30 +410,30 @@
 // is shorter while no entry holds the lease, because an owner may be trying to
 // reach the guard over a link that only seems to be open.
 void
-guard_node::DropSilentLinks(instant aNow)
+guard_node::CloseTimedOutLinks(instant aNow)
 {
-  for (auto entry = mPeers.begin(); entry != mPeers.end();) {
+  for (auto link = mPeers.begin(); link != mPeers.end();) {
     duration limit =
       Leased(aNow) ? mOptions.mLinkTimeout : mOptions.mUnleasedLinkTimeout;
-    bool silent = aNow - entry->second.mLastHeard > limit;
-    if (!silent) {
-      ++entry;
+    bool timedOut = aNow - link->second.mLastHeard > limit;
+    if (!timedOut) {
+      ++link;
       continue;
     }
     mEvents.Emit(event_code::PeerSilent,
-                 { { "peer", PeerName(entry->second.mIdentity) } });
-    mNetwork.Close(entry->first);
-    if (IsHolder(entry->first)) {
+                 { { "peer", PeerName(link->second.mIdentity) } });
+    mNetwork.Close(link->first);
+    if (IsHolder(link->first)) {
       mHolder = 0;
     }
-    entry = mPeers.erase(entry);
+    link = mPeers.erase(link);
   }
 }
 
 void
 guard_node::ConnectMissing()
 {
-  for (const std::string& address : mEntries) {
+  for (const std::string& address : mEntryAddresses) {
     bool connected = false;
     for (const auto& [peer, row] : mPeers) {
       connected = connected || row.mIdentity.mAddress == address;
@@ -447,10 +447,10 @@
 void
 guard_node::Tick(instant aNow)
 {
-  NoticePause(aNow);
+  CheckPause(aNow);
   if (aNow >= mGraceUntil) {
     if (mAnnounced && aNow >= mAnnouncementEnd) {
-      EndBackend(event_code::BackendExpired);
+      EndAnnouncement(event_code::BackendExpired);
     }
     TimeOutTasks(aNow);
   }
@@ -467,7 +467,7 @@
       mHolder = 0;
     }
   }
-  if (!mVersionTried && mVersionRequest == 0) {
+  if (!mVersionReadDone && mVersionRequest == 0) {
     mVersionRequest = mTable.Read(kConfigVersionKey, 1, false);
   }
   if (aNow >= mNextTableRead && mTableRequest == 0) {
@@ -476,7 +476,7 @@
   }
   if (aNow >= mNextConnect) {
     mNextConnect = aNow + kConnectInterval;
-    DropSilentLinks(aNow);
+    CloseTimedOutLinks(aNow);
     ConnectMissing();
   }
   FlushResults();
@@ -500,7 +500,7 @@
 void
 guard_node::FinishDrain()
 {
-  if (mRunning > 0 || mHolder == 0 || mHandOverSent) {
+  if (mRunning > 0 || mHolder == 0 || mHandoverSent) {
     return;
   }
   for (const auto& [ref, row] : mRecords) {
@@ -508,7 +508,7 @@
       return;
     }
   }
-  mHandOverSent = true;
+  mHandoverSent = true;
   SendRecords(mHolder, true);
 }
 
--- a/cactusmast/guard_node.h
+++ b/cactusmast/guard_node.h
@@ -49,7 +49,7 @@
   uint32_t mMaxRecords = 100000;
   uint64_t mMaxResultBytes = 24u << 20;
   // An announcement expires this long after it was last renewed.
-  duration mAnnouncementLife = std::chrono::seconds(2);
+  duration mAnnouncementTimeout = std::chrono::seconds(2);
   // Links over which nothing arrived for this long are replaced.
   duration mLinkTimeout = std::chrono::seconds(45);
   // The same while no entry holds the lease.
@@ -217,21 +217,21 @@
   uint32_t TimeoutMs(const wire::dispatch_item_msg& aItem) const;
 
   bool IsHolder(peer_id aPeer) const { return aPeer == mHolder; }
-  void GrantTo(peer_id aPeer,
-               const wire::lease_request_msg& aRequest,
-               instant aNow);
-  void SendRecords(peer_id aPeer, bool aCleanStop);
-  void ResendUnacked();
+  void GrantLease(peer_id aPeer,
+                  const wire::lease_request_msg& aRequest,
+                  instant aNow);
+  void SendRecords(peer_id aPeer, bool aIsHandover);
+  void RequeueUnacked();
   void SendState(peer_id aPeer);
   void BroadcastState();
-  void EndBackend(event_code aCode);
+  void EndAnnouncement(event_code aCode);
   void TimeOutTasks(instant aNow);
   void ExpireRecords(instant aNow);
-  void TrimResults();
+  void DeleteOldOutputs();
   void FlushResults();
-  void NoticePause(instant aNow);
-  void DropOlderLinks(const peer_identity& aIdentity);
-  void DropSilentLinks(instant aNow);
+  void CheckPause(instant aNow);
+  void CloseOlderLinks(const peer_identity& aIdentity);
+  void CloseTimedOutLinks(instant aNow);
   void ConnectMissing();
   void FinishDrain();
 
@@ -243,7 +243,7 @@
   guard_safeguards mSafeguards;
 
   std::map<peer_id, peer_row> mPeers;
-  std::vector<std::string> mEntries; // addresses
+  std::vector<std::string> mEntryAddresses;
 
   // The lease. mEpoch never decreases. The holder's name and incarnation
   // outlast its link, so that it can renew over a new one.
@@ -256,9 +256,9 @@
   uint64_t mSequence = 0;  // of the holder's latest message, echoed back
 
   record_map mRecords;
-  std::deque<ended_row> mEndedOrder; // oldest first, for the retention time
-  std::deque<task_ref> mResultOrder; // oldest first, for mMaxResultBytes
-  uint64_t mResultBytes = 0;         // of the outputs held in mRecords
+  std::deque<ended_row> mEndedRecords; // oldest first, for the retention time
+  std::deque<task_ref> mResultsByAge;  // oldest first, for mMaxResultBytes
+  uint64_t mResultBytes = 0;           // of the outputs held in mRecords
   std::map<instant, std::vector<task_ref>> mTimeouts;
   uint32_t mRunning = 0;
   std::vector<wire::task_result_msg> mOutbox; // to be sent to the holder
@@ -272,9 +272,9 @@
   // peer that lags behind. It reads the version from the table once and holds
   // the newest configuration that was pushed until any reply arrives.
   uint64_t mVersionRequest = 0; // 0: none is outstanding
-  bool mVersionTried = false;
+  bool mVersionReadDone = false;
   uint64_t mTableVersion = 0; // 0: not known
-  wire::config_push_msg mOffered;
+  wire::config_push_msg mPushedConfig;
   guard_counters mCounters;
   uint64_t mTableRequest = 0; // for the list of entries; 0: none outstanding
   instant mNextTableRead{};
@@ -284,7 +284,7 @@
   bool mDraining = false;
   bool mRecordsHandedOver = false; // confirmed by the owner
   bool mRecordsKept = false;       // other guards hold copies of them
-  bool mHandOverSent = false;      // to the present holder, over this link
+  bool mHandoverSent = false;      // to the present holder, over this link
 };
 
 } // namespace cactusmast
--- a/cactusmast/guard_tasks.cc
+++ b/cactusmast/guard_tasks.cc
@@ -18,20 +18,20 @@
 } // namespace
 
 void
-guard_node::SendRecords(peer_id aPeer, bool aCleanStop)
+guard_node::SendRecords(peer_id aPeer, bool aIsHandover)
 {
-  wire::records_msg part;
+  wire::records_msg batch;
   auto flush = [&](bool aLast) {
-    part.shard = mOptions.mShard;
-    part.epoch = mEpoch;
-    part.last = aLast;
-    part.clean_stop = aCleanStop;
-    mNetwork.Send(aPeer, MakeMessage(std::move(part)));
-    part = wire::records_msg();
+    batch.shard = mOptions.mShard;
+    batch.epoch = mEpoch;
+    batch.last = aLast;
+    batch.clean_stop = aIsHandover;
+    mNetwork.Send(aPeer, MakeMessage(std::move(batch)));
+    batch = wire::records_msg();
   };
   for (const auto& [ref, row] : mRecords) {
-    part.items.emplace_back(ref, uint8_t(row.mState), row.mHasResult);
-    if (part.items.size() == kRecordsPerMessage) {
+    batch.items.emplace_back(ref, uint8_t(row.mState), row.mHasResult);
+    if (batch.items.size() == kRecordsPerMessage) {
       flush(false);
     }
   }
@@ -39,7 +39,7 @@
 }
 
 void
-guard_node::ResendUnacked()
+guard_node::RequeueUnacked()
 {
   mOutbox.clear();
   for (const auto& [ref, row] : mRecords) {
@@ -89,7 +89,7 @@
     Acknowledge(aDispatch.acks);
     mSequence = aDispatch.sequence;
   }
-  bool renewed = false;
+  bool started = false;
   for (const wire::dispatch_item_msg& item : aDispatch.items) {
     auto known = mRecords.find(item.ref);
     if (known != mRecords.end() && mSafeguards.mDeduplicate) {
@@ -107,9 +107,9 @@
       continue;
     }
     StartTask(item, aNow);
-    renewed = true;
+    started = true;
   }
-  if (renewed) {
+  if (started) {
     mLeaseEnd = aNow + mOptions.mLease;
   }
 }
@@ -168,13 +168,13 @@
     return; // timed out or cancelled before, and reported then
   }
   record& row = found->second;
-  wire::task_result_msg& made = row.mResult;
-  made.ref = aEnd.mRef;
-  made.outcome = uint8_t(aEnd.mOutcome);
-  made.run = uint8_t(aEnd.mRunState);
-  made.reason = uint8_t(aEnd.mReason);
-  made.output = aEnd.mOutput;
-  made.run_us = uint64_t((aNow - row.mStarted).count());
+  wire::task_result_msg& taskResult = row.mResult;
+  taskResult.ref = aEnd.mRef;
+  taskResult.outcome = uint8_t(aEnd.mOutcome);
+  taskResult.run = uint8_t(aEnd.mRunState);
+  taskResult.reason = uint8_t(aEnd.mReason);
+  taskResult.output = aEnd.mOutput;
+  taskResult.run_us = uint64_t((aNow - row.mStarted).count());
   Finish(aEnd.mRef, row, aNow);
 }
 
@@ -194,19 +194,19 @@
   aRecord.mState = started ? record_state::Finished : record_state::Tombstone;
   aRecord.mHasResult = started;
   mResultBytes += started ? aRecord.mResult.output.size() : 0;
-  mEndedOrder.push_back({ aNow, aRef });
-  mResultOrder.push_back(aRef);
+  mEndedRecords.push_back({ aNow, aRef });
+  mResultsByAge.push_back(aRef);
   mOutbox.push_back(aRecord.mResult);
-  TrimResults();
+  DeleteOldOutputs();
 }
 
 // Deletes the oldest outputs while their bytes exceed the limit. Stops at a
 // result that was not acknowledged, because no other process has it.
 void
-guard_node::TrimResults()
+guard_node::DeleteOldOutputs()
 {
-  while (mResultBytes > mOptions.mMaxResultBytes && !mResultOrder.empty()) {
-    auto oldest = mRecords.find(mResultOrder.front());
+  while (mResultBytes > mOptions.mMaxResultBytes && !mResultsByAge.empty()) {
+    auto oldest = mRecords.find(mResultsByAge.front());
     if (oldest != mRecords.end()) {
       record& row = oldest->second;
       if (!row.mAcked && row.mHasResult) {
@@ -218,7 +218,7 @@
         row.mHasResult = false;
       }
     }
-    mResultOrder.pop_front();
+    mResultsByAge.pop_front();
   }
 }
 
@@ -233,7 +233,7 @@
   row.mState = record_state::Tombstone;
   row.mAcked = true;
   row.mEnded = aNow;
-  mEndedOrder.push_back({ aNow, aRef });
+  mEndedRecords.push_back({ aNow, aRef });
   mCounters.mTombstones++;
 }
 
@@ -246,7 +246,7 @@
       found->second.mAcked = true;
     }
   }
-  TrimResults();
+  DeleteOldOutputs();
 }
 
 void
@@ -306,7 +306,7 @@
     row.mState = record_state::Abandoned;
     row.mAcked = true;
     row.mEnded = aNow;
-    mEndedOrder.push_back({ aNow, ref });
+    mEndedRecords.push_back({ aNow, ref });
   }
 }
 
@@ -326,12 +326,12 @@
         found->second.mState == record_state::Running) {
       continue; // its result follows
     }
-    wire::task_result_msg gone;
-    gone.ref = ref;
-    gone.outcome = uint8_t(task_outcome::Failed);
-    gone.run = uint8_t(run_state::Run);
-    gone.reason = uint8_t(task_reason::ResultGone);
-    mOutbox.push_back(std::move(gone));
+    wire::task_result_msg missing;
+    missing.ref = ref;
+    missing.outcome = uint8_t(task_outcome::Failed);
+    missing.run = uint8_t(run_state::Run);
+    missing.reason = uint8_t(task_reason::ResultGone);
+    mOutbox.push_back(std::move(missing));
   }
 }
 
@@ -351,7 +351,7 @@
     row.mState = abandoned ? record_state::Abandoned : record_state::Finished;
     row.mAcked = true;
     row.mEnded = aNow;
-    mEndedOrder.push_back({ aNow, item.ref() });
+    mEndedRecords.push_back({ aNow, item.ref() });
   }
 }
 
@@ -381,23 +381,23 @@
 void
 guard_node::ExpireRecords(instant aNow)
 {
-  while (!mEndedOrder.empty() &&
-         mEndedOrder.front().mEnded + mOptions.mRetention <= aNow) {
-    auto found = mRecords.find(mEndedOrder.front().mRef);
-    bool same = found != mRecords.end() &&
-                found->second.mState != record_state::Running &&
-                found->second.mEnded == mEndedOrder.front().mEnded;
-    if (same) {
+  while (!mEndedRecords.empty() &&
+         mEndedRecords.front().mEnded + mOptions.mRetention <= aNow) {
+    auto found = mRecords.find(mEndedRecords.front().mRef);
+    bool isCurrent = found != mRecords.end() &&
+                     found->second.mState != record_state::Running &&
+                     found->second.mEnded == mEndedRecords.front().mEnded;
+    if (isCurrent) {
       if (found->second.mHasResult) {
         mResultBytes -= found->second.mResult.output.size();
       }
       mRecords.erase(found);
     }
-    mEndedOrder.pop_front();
+    mEndedRecords.pop_front();
   }
-  while (!mResultOrder.empty() &&
-         mRecords.find(mResultOrder.front()) == mRecords.end()) {
-    mResultOrder.pop_front();
+  while (!mResultsByAge.empty() &&
+         mRecords.find(mResultsByAge.front()) == mRecords.end()) {
+    mResultsByAge.pop_front();
   }
 }
 
