--- a/cactusmast/testing/guard_node_test.cc
+++ b/cactusmast/testing/guard_node_test.cc
@@ -1,6 +1,6 @@
-// The guard alone, against peers that send what a confused, stale or hostile
-// entry could send. For each check, the same messages start the task when the
-// check is switched off.
+// A guard alone, with peers that send what a faulty, stale or hostile entry
+// could send. For each safeguard, the same messages start the task when the
+// safeguard is switched off.
 
 #include <doctest/doctest.h>
 
@@ -75,7 +75,8 @@
     mGuard.Announce(server, mNow);
   }
 
-  // Time passes, with the backend server renewing and ticks in between.
+  // Advances the time by aTime; the backend server renews its announcement and
+  // the guard ticks every 100 ms.
   void Pass(duration aTime)
   {
     instant end = mNow + aTime;
@@ -156,9 +157,9 @@
 
 TEST_CASE("a superseded owner's dispatch is refused")
 {
-  // An entry was replaced as the shard's owner without noticing, and goes on
-  // dispatching. Were its dispatch accepted, the new owner could start the
-  // same task elsewhere, and the board would be cut twice.
+  // An entry was replaced as the shard's owner, does not know it and continues
+  // to dispatch. If its dispatch were accepted, the new owner could start the
+  // same task elsewhere, and the task would run twice.
   for (bool checked : { true, false }) {
     guard_safeguards safeguards;
     safeguards.mCheckEpoch = checked;
@@ -166,7 +167,8 @@
     fixture.Lease(1, 1);
     fixture.Pass(seconds(3));
     fixture.Lease(2, 2);
-    // The guard dropped the link with the lease; the old owner is back.
+    // The guard closed the link when the lease expired; the old owner connects
+    // again.
     fixture.mGuard.OnPeerUp(
       3, guard_fixture::Entry("entry-1", 11), fixture.mNow);
     fixture.Dispatch(3, 1, 0);
@@ -177,16 +179,16 @@
   }
 }
 
-TEST_CASE("a dispatch after the lease's end is refused")
+TEST_CASE("a dispatch after the lease has expired is refused")
 {
-  // The owner's renewals were lost, its dispatch was only slow. By the
-  // guard's clock the lease is over and another entry may be about to get it.
+  // The owner's renewals were lost and its dispatch was delayed. By the guard's
+  // clock the lease has expired, and another entry may be granted it next.
   for (bool checked : { true, false }) {
     guard_safeguards safeguards;
     safeguards.mCheckExpiry = checked;
     guard_fixture fixture(safeguards);
     fixture.Lease(1, 1);
-    // No tick in between: the dispatch is read first.
+    // No tick after the expiry: the dispatch is read first.
     fixture.mNow += milliseconds(2400);
     fixture.mGuard.Tick(fixture.mNow);
     fixture.Announce();
@@ -196,10 +198,11 @@
   }
 }
 
-TEST_CASE("a revoked task never starts, even from a late copy")
+TEST_CASE("a revoked task never starts from a delayed dispatch")
 {
-  // The owner asked about a dispatch that had not arrived, was told so, and
-  // sent the task elsewhere. The first copy arrives after all.
+  // The owner asks about a dispatch that has not arrived, learns that it has
+  // not, and dispatches the task elsewhere. The first dispatch arrives after
+  // all.
   for (bool kept : { true, false }) {
     guard_safeguards safeguards;
     safeguards.mTombstones = kept;
@@ -227,7 +230,7 @@
   }
 }
 
-TEST_CASE("nothing starts for a backend server that withdrew")
+TEST_CASE("nothing starts on a backend server that has withdrawn")
 {
   for (bool checked : { true, false }) {
     guard_safeguards safeguards;
@@ -240,7 +243,7 @@
   }
 }
 
-TEST_CASE("a lease is not given away while it is in force")
+TEST_CASE("a lease is not granted to another entry while it is in force")
 {
   guard_fixture fixture;
   fixture.Lease(1, 1);
@@ -254,10 +257,10 @@
   CHECK(fixture.mBackend.mStarts == 1);
 }
 
-TEST_CASE("a full guard refuses instead of forgetting")
+TEST_CASE("a guard with the maximum of records refuses tasks and deletes none")
 {
-  // The records' budget is spent. Forgetting one would let its task start
-  // again, so new tasks are refused until old records expire.
+  // If a record were deleted early, its task could start again. New tasks are
+  // therefore refused until old records expire.
   guard_options options;
   options.mMaxRecords = 2;
   options.mRetention = seconds(10);
@@ -277,7 +280,7 @@
   CHECK(fixture.mBackend.mStarts == 3);
 }
 
-TEST_CASE("results over the byte budget are dropped oldest first, once "
+TEST_CASE("outputs over the byte limit are deleted oldest first, once "
           "acknowledged")
 {
   guard_options options;
@@ -296,7 +299,7 @@
   CHECK(fixture.mGuard.Records() == 4);
 }
 
-TEST_CASE("a task over its time limit is cancelled and reported as run")
+TEST_CASE("a task that exceeds its time limit is cancelled and frees its slot")
 {
   guard_fixture fixture;
   fixture.Lease(1, 1);
