--- a/cactusmast/testing/guard_node_test.cc
+++ b/cactusmast/testing/guard_node_test.cc
@@ -25,7 +25,7 @@
   std::vector<peer_id> mClosed;
 };
 
-struct silent_table : table_store
+struct unresponsive_table : table_store
 {
   uint64_t Read(const std::string&, uint32_t, bool) override { return ++mLast; }
   uint64_t Commit(std::vector<table_write>) override { return ++mLast; }
@@ -77,7 +77,7 @@
 
   // Advances the time by aTime; the backend server renews its announcement and
   // the guard ticks every 100 ms.
-  void Pass(duration aTime)
+  void Advance(duration aTime)
   {
     instant end = mNow + aTime;
     while (mNow < end) {
@@ -87,7 +87,7 @@
     }
   }
 
-  void Lease(peer_id aPeer, uint64_t aEpoch)
+  void RequestLease(peer_id aPeer, uint64_t aEpoch)
   {
     wire::lease_request_msg request;
     request.epoch = aEpoch;
@@ -116,7 +116,7 @@
     mGuard.OnMessage(aPeer, MakeMessage(std::move(settle)), mNow);
   }
 
-  void End(uint32_t aIndex, const std::string& aOutput = "done")
+  void EndTask(uint32_t aIndex, const std::string& aOutput = "done")
   {
     mGuard.OnTaskEnded({ RefOf({ 1, 2 }, aIndex),
                          task_outcome::Succeeded,
@@ -146,7 +146,7 @@
 
   instant mNow = seconds(100);
   recording_network mNetwork;
-  silent_table mTable;
+  unresponsive_table mTable;
   counting_backend mBackend;
   no_events mEvents;
   guard_node mGuard;
@@ -160,20 +160,20 @@
   // An entry was replaced as the shard's owner, does not know it and continues
   // to dispatch. If its dispatch were accepted, the new owner could start the
   // same task elsewhere, and the task would run twice.
-  for (bool checked : { true, false }) {
+  for (bool enabled : { true, false }) {
     guard_safeguards safeguards;
-    safeguards.mCheckEpoch = checked;
+    safeguards.mCheckEpoch = enabled;
     guard_fixture fixture(safeguards);
-    fixture.Lease(1, 1);
-    fixture.Pass(seconds(3));
-    fixture.Lease(2, 2);
+    fixture.RequestLease(1, 1);
+    fixture.Advance(seconds(3));
+    fixture.RequestLease(2, 2);
     // The guard closed the link when the lease expired; the old owner connects
     // again.
     fixture.mGuard.OnPeerUp(
       3, guard_fixture::Entry("entry-1", 11), fixture.mNow);
     fixture.Dispatch(3, 1, 0);
-    CHECK(fixture.mBackend.mStarts == (checked ? 0 : 1));
-    if (checked) {
+    CHECK(fixture.mBackend.mStarts == (enabled ? 0 : 1));
+    if (enabled) {
       CHECK(fixture.LastRefusal() == task_reason::StaleLease);
     }
   }
@@ -183,18 +183,18 @@
 {
   // The owner's renewals were lost and its dispatch was delayed. By the guard's
   // clock the lease has expired, and another entry may be granted it next.
-  for (bool checked : { true, false }) {
+  for (bool enabled : { true, false }) {
     guard_safeguards safeguards;
-    safeguards.mCheckExpiry = checked;
+    safeguards.mCheckExpiry = enabled;
     guard_fixture fixture(safeguards);
-    fixture.Lease(1, 1);
+    fixture.RequestLease(1, 1);
     // No tick after the expiry: the dispatch is read first.
     fixture.mNow += milliseconds(2400);
     fixture.mGuard.Tick(fixture.mNow);
     fixture.Announce();
     fixture.mNow += milliseconds(200);
     fixture.Dispatch(1, 1, 0);
-    CHECK(fixture.mBackend.mStarts == (checked ? 0 : 1));
+    CHECK(fixture.mBackend.mStarts == (enabled ? 0 : 1));
   }
 }
 
@@ -203,15 +203,15 @@
   // The owner asks about a dispatch that has not arrived, learns that it has
   // not, and dispatches the task elsewhere. The first dispatch arrives after
   // all.
-  for (bool kept : { true, false }) {
+  for (bool enabled : { true, false }) {
     guard_safeguards safeguards;
-    safeguards.mTombstones = kept;
+    safeguards.mTombstones = enabled;
     guard_fixture fixture(safeguards);
-    fixture.Lease(1, 1);
+    fixture.RequestLease(1, 1);
     fixture.Settle(1, 1, 0);
     fixture.Dispatch(1, 1, 0);
-    CHECK(fixture.mBackend.mStarts == (kept ? 0 : 1));
-    if (kept) {
+    CHECK(fixture.mBackend.mStarts == (enabled ? 0 : 1));
+    if (enabled) {
       CHECK(fixture.LastRefusal() == task_reason::Tombstone);
     }
   }
@@ -219,40 +219,40 @@
 
 TEST_CASE("a dispatch that arrives twice starts once")
 {
-  for (bool checked : { true, false }) {
+  for (bool enabled : { true, false }) {
     guard_safeguards safeguards;
-    safeguards.mDeduplicate = checked;
+    safeguards.mDeduplicate = enabled;
     guard_fixture fixture(safeguards);
-    fixture.Lease(1, 1);
+    fixture.RequestLease(1, 1);
     fixture.Dispatch(1, 1, 0);
     fixture.Dispatch(1, 1, 0);
-    CHECK(fixture.mBackend.mStarts == (checked ? 1 : 2));
+    CHECK(fixture.mBackend.mStarts == (enabled ? 1 : 2));
   }
 }
 
 TEST_CASE("nothing starts on a backend server that has withdrawn")
 {
-  for (bool checked : { true, false }) {
+  for (bool enabled : { true, false }) {
     guard_safeguards safeguards;
-    safeguards.mRefuseWithdrawn = checked;
+    safeguards.mRefuseWithdrawn = enabled;
     guard_fixture fixture(safeguards);
-    fixture.Lease(1, 1);
+    fixture.RequestLease(1, 1);
     fixture.mGuard.Withdraw(fixture.mNow);
     fixture.Dispatch(1, 1, 0);
-    CHECK(fixture.mBackend.mStarts == (checked ? 0 : 1));
+    CHECK(fixture.mBackend.mStarts == (enabled ? 0 : 1));
   }
 }
 
 TEST_CASE("a lease is not granted to another entry while it is in force")
 {
   guard_fixture fixture;
-  fixture.Lease(1, 1);
-  fixture.Lease(2, 2);
+  fixture.RequestLease(1, 1);
+  fixture.RequestLease(2, 2);
   CHECK(fixture.mGuard.Epoch() == 1);
   fixture.Dispatch(2, 2, 0);
   CHECK(fixture.mBackend.mStarts == 0);
-  fixture.Pass(seconds(3));
-  fixture.Lease(2, 2);
+  fixture.Advance(seconds(3));
+  fixture.RequestLease(2, 2);
   fixture.Dispatch(2, 2, 0);
   CHECK(fixture.mBackend.mStarts == 1);
 }
@@ -265,16 +265,16 @@
   options.mMaxRecords = 2;
   options.mRetention = seconds(10);
   guard_fixture fixture({}, options);
-  fixture.Lease(1, 1);
+  fixture.RequestLease(1, 1);
   fixture.Dispatch(1, 1, 0);
-  fixture.End(0);
+  fixture.EndTask(0);
   fixture.Dispatch(1, 1, 1);
-  fixture.End(1);
+  fixture.EndTask(1);
   fixture.Dispatch(1, 1, 2);
   CHECK(fixture.LastRefusal() == task_reason::Budget);
   for (int i = 0; i < 12; i++) {
-    fixture.Pass(seconds(1));
-    fixture.Lease(1, 1);
+    fixture.Advance(seconds(1));
+    fixture.RequestLease(1, 1);
   }
   fixture.Dispatch(1, 1, 3);
   CHECK(fixture.mBackend.mStarts == 3);
@@ -286,10 +286,10 @@
   guard_options options;
   options.mMaxResultBytes = 100;
   guard_fixture fixture({}, options);
-  fixture.Lease(1, 1);
+  fixture.RequestLease(1, 1);
   for (uint32_t i = 0; i < 4; i++) {
     fixture.Dispatch(1, 1, i);
-    fixture.End(i, std::string(60, 'x'));
+    fixture.EndTask(i, std::string(60, 'x'));
     wire::result_ack_msg ack;
     ack.refs.push_back(RefOf({ 1, 2 }, i));
     fixture.mGuard.OnMessage(1, MakeMessage(std::move(ack)), fixture.mNow);
@@ -302,9 +302,9 @@
 TEST_CASE("a task that exceeds its time limit is cancelled and frees its slot")
 {
   guard_fixture fixture;
-  fixture.Lease(1, 1);
+  fixture.RequestLease(1, 1);
   fixture.Dispatch(1, 1, 0);
-  fixture.Pass(milliseconds(5200));
+  fixture.Advance(milliseconds(5200));
   CHECK(fixture.mBackend.mCancels == 1);
   CHECK(fixture.mGuard.Running() == 0);
 }
