--- a/cactusmast/table_watcher.cc
+++ b/cactusmast/table_watcher.cc
@@ -7,9 +7,9 @@
 
 using std::chrono::milliseconds;
 
-// Retries begin fast, since a lost answer is the most frequent fault, and slow
-// down to spare a store in trouble. The longest pause is what a change may be
-// late by when the store returns; a change has to be in force after 2 s.
+// Retries begin fast, because a lost reply is the most frequent fault, and slow
+// down to relieve a failing store. The maximum delays a change after the
+// store has returned; a change must be in force within 2 s.
 constexpr duration kMinBackoff = milliseconds(50);
 constexpr duration kMaxBackoff = milliseconds(400);
 
@@ -33,52 +33,52 @@
 table_watcher::Tick(instant aNow)
 {
   mNow = aNow;
-  if (mWaiting || aNow < mNextTry) {
+  if (mReplyPending || aNow < mNextRequest) {
     return;
   }
-  mWaiting = true;
+  mReplyPending = true;
   if (mHaveVersion) {
     mStore.WaitForChange(
-      mTable, mVersion, mWaitMs, [this](const store_reply& aAnswer) {
-        OnAnswer(aAnswer, false);
+      mTable, mVersion, mWaitMs, [this](const store_reply& aReply) {
+        OnReply(aReply, false);
       });
   } else {
-    mStore.ReadPart(mTable, "", [this](const store_reply& aAnswer) {
-      OnAnswer(aAnswer, true);
-    });
+    mStore.ReadPart(
+      mTable, "", [this](const store_reply& aReply) { OnReply(aReply, true); });
   }
 }
 
 void
-table_watcher::OnAnswer(const store_reply& aAnswer, bool aWhole)
+table_watcher::OnReply(const store_reply& aReply, bool aIsSnapshot)
 {
-  mWaiting = false;
-  if (aAnswer.mStatus != store_status::Ok) {
-    mNextTry = mNow + mBackoff;
+  mReplyPending = false;
+  if (aReply.mStatus != store_status::Ok) {
+    mNextRequest = mNow + mBackoff;
     mBackoff = std::min(kMaxBackoff, mBackoff * 2);
-    // The table is read whole after any fault: a watch that went silent may
-    // have missed changes, and this costs one small read.
+    // A snapshot is read after any fault: a wait that got no reply may have
+    // missed changes, and this costs only one small read.
     mHaveVersion = false;
-    if (mAvailable && aAnswer.mStatus == store_status::Unavailable) {
+    if (mAvailable && aReply.mStatus == store_status::Unavailable) {
       mAvailable = false;
       mEvents.Emit(event_code::TableUnavailable,
-                   { { "table", mTable }, { "text", aAnswer.mText } });
+                   { { "table", mTable }, { "text", aReply.mText } });
     }
     return;
   }
-  if (!mAvailable || !mEverAnswered) {
+  if (!mAvailable || !mHasReplied) {
     mEvents.Emit(
       event_code::TableAvailable,
-      { { "table", mTable }, { "version", std::to_string(aAnswer.mVersion) } });
+      { { "table", mTable }, { "version", std::to_string(aReply.mVersion) } });
   }
   mAvailable = true;
-  mEverAnswered = true;
+  mHasReplied = true;
   mBackoff = kMinBackoff;
-  mNextTry = mNow;
-  mOnChange({ aAnswer.mRows, aAnswer.mVersion, aWhole && !aAnswer.mMore });
-  // A whole read may be of an earlier state than what was seen before. Going
-  // on from the version that it names repeats changes but misses none.
-  mVersion = aWhole ? aAnswer.mVersion : std::max(mVersion, aAnswer.mVersion);
+  mNextRequest = mNow;
+  mOnChange({ aReply.mRows, aReply.mVersion, aIsSnapshot && !aReply.mMore });
+  // A snapshot may be older than what was read before. Continuing from its
+  // version repeats changes but misses none.
+  mVersion =
+    aIsSnapshot ? aReply.mVersion : std::max(mVersion, aReply.mVersion);
   mHaveVersion = true;
 }
 
--- a/cactusmast/testing/guard_node_test.cc
+++ b/cactusmast/testing/guard_node_test.cc
@@ -1,6 +1,6 @@
-// The guard alone, against peers that send what a confused, stale or hostile
-// entry could send. For each check, the same messages start the task when the
-// check is switched off.
+// A guard alone, with peers that send what a faulty, stale or hostile entry
+// could send. For each safeguard, the same messages start the task when the
+// safeguard is switched off.
 
 #include <doctest/doctest.h>
 
@@ -25,7 +25,7 @@
   std::vector<peer_id> mClosed;
 };
 
-struct silent_table : table_store
+struct unresponsive_table : table_store
 {
   uint64_t Read(const std::string&, uint32_t, bool) override { return ++mLast; }
   uint64_t Commit(std::vector<table_write>) override { return ++mLast; }
@@ -75,8 +75,9 @@
     mGuard.Announce(server, mNow);
   }
 
-  // Time passes, with the backend server renewing and ticks in between.
-  void Pass(duration aTime)
+  // Advances the time by aTime; the backend server renews its announcement and
+  // the guard ticks every 100 ms.
+  void Advance(duration aTime)
   {
     instant end = mNow + aTime;
     while (mNow < end) {
@@ -86,7 +87,7 @@
     }
   }
 
-  void Lease(peer_id aPeer, uint64_t aEpoch)
+  void RequestLease(peer_id aPeer, uint64_t aEpoch)
   {
     wire::lease_request_msg request;
     request.epoch = aEpoch;
@@ -115,7 +116,7 @@
     mGuard.OnMessage(aPeer, MakeMessage(std::move(settle)), mNow);
   }
 
-  void End(uint32_t aIndex, const std::string& aOutput = "done")
+  void EndTask(uint32_t aIndex, const std::string& aOutput = "done")
   {
     mGuard.OnTaskEnded({ RefOf({ 1, 2 }, aIndex),
                          task_outcome::Succeeded,
@@ -145,7 +146,7 @@
 
   instant mNow = seconds(100);
   recording_network mNetwork;
-  silent_table mTable;
+  unresponsive_table mTable;
   counting_backend mBackend;
   no_events mEvents;
   guard_node mGuard;
@@ -156,59 +157,61 @@
 
 TEST_CASE("a superseded owner's dispatch is refused")
 {
-  // An entry was replaced as the shard's owner without noticing, and goes on
-  // dispatching. Were its dispatch accepted, the new owner could start the
-  // same task elsewhere, and the board would be cut twice.
-  for (bool checked : { true, false }) {
+  // An entry was replaced as the shard's owner, does not know it and continues
+  // to dispatch. If its dispatch were accepted, the new owner could start the
+  // same task elsewhere, and the task would run twice.
+  for (bool enabled : { true, false }) {
     guard_safeguards safeguards;
-    safeguards.mCheckEpoch = checked;
+    safeguards.mCheckEpoch = enabled;
     guard_fixture fixture(safeguards);
-    fixture.Lease(1, 1);
-    fixture.Pass(seconds(3));
-    fixture.Lease(2, 2);
-    // The guard dropped the link with the lease; the old owner is back.
+    fixture.RequestLease(1, 1);
+    fixture.Advance(seconds(3));
+    fixture.RequestLease(2, 2);
+    // The guard closed the link when the lease expired; the old owner connects
+    // again.
     fixture.mGuard.OnPeerUp(
       3, guard_fixture::Entry("entry-1", 11), fixture.mNow);
     fixture.Dispatch(3, 1, 0);
-    CHECK(fixture.mBackend.mStarts == (checked ? 0 : 1));
-    if (checked) {
+    CHECK(fixture.mBackend.mStarts == (enabled ? 0 : 1));
+    if (enabled) {
       CHECK(fixture.LastRefusal() == task_reason::StaleLease);
     }
   }
 }
 
-TEST_CASE("a dispatch after the lease's end is refused")
+TEST_CASE("a dispatch after the lease has expired is refused")
 {
-  // The owner's renewals were lost, its dispatch was only slow. By the
-  // guard's clock the lease is over and another entry may be about to get it.
-  for (bool checked : { true, false }) {
+  // The owner's renewals were lost and its dispatch was delayed. By the guard's
+  // clock the lease has expired, and another entry may be granted it next.
+  for (bool enabled : { true, false }) {
     guard_safeguards safeguards;
-    safeguards.mCheckExpiry = checked;
+    safeguards.mCheckExpiry = enabled;
     guard_fixture fixture(safeguards);
-    fixture.Lease(1, 1);
-    // No tick in between: the dispatch is read first.
+    fixture.RequestLease(1, 1);
+    // No tick after the expiry: the dispatch is read first.
     fixture.mNow += milliseconds(2400);
     fixture.mGuard.Tick(fixture.mNow);
     fixture.Announce();
     fixture.mNow += milliseconds(200);
     fixture.Dispatch(1, 1, 0);
-    CHECK(fixture.mBackend.mStarts == (checked ? 0 : 1));
+    CHECK(fixture.mBackend.mStarts == (enabled ? 0 : 1));
   }
 }
 
-TEST_CASE("a revoked task never starts, even from a late copy")
+TEST_CASE("a revoked task never starts from a delayed dispatch")
 {
-  // The owner asked about a dispatch that had not arrived, was told so, and
-  // sent the task elsewhere. The first copy arrives after all.
-  for (bool kept : { true, false }) {
+  // The owner asks about a dispatch that has not arrived, learns that it has
+  // not, and dispatches the task elsewhere. The first dispatch arrives after
+  // all.
+  for (bool enabled : { true, false }) {
     guard_safeguards safeguards;
-    safeguards.mTombstones = kept;
+    safeguards.mTombstones = enabled;
     guard_fixture fixture(safeguards);
-    fixture.Lease(1, 1);
+    fixture.RequestLease(1, 1);
     fixture.Settle(1, 1, 0);
     fixture.Dispatch(1, 1, 0);
-    CHECK(fixture.mBackend.mStarts == (kept ? 0 : 1));
-    if (kept) {
+    CHECK(fixture.mBackend.mStarts == (enabled ? 0 : 1));
+    if (enabled) {
       CHECK(fixture.LastRefusal() == task_reason::Tombstone);
     }
   }
@@ -216,77 +219,77 @@
 
 TEST_CASE("a dispatch that arrives twice starts once")
 {
-  for (bool checked : { true, false }) {
+  for (bool enabled : { true, false }) {
     guard_safeguards safeguards;
-    safeguards.mDeduplicate = checked;
+    safeguards.mDeduplicate = enabled;
     guard_fixture fixture(safeguards);
-    fixture.Lease(1, 1);
+    fixture.RequestLease(1, 1);
     fixture.Dispatch(1, 1, 0);
     fixture.Dispatch(1, 1, 0);
-    CHECK(fixture.mBackend.mStarts == (checked ? 1 : 2));
+    CHECK(fixture.mBackend.mStarts == (enabled ? 1 : 2));
   }
 }
 
-TEST_CASE("nothing starts for a backend server that withdrew")
+TEST_CASE("nothing starts on a backend server that has withdrawn")
 {
-  for (bool checked : { true, false }) {
+  for (bool enabled : { true, false }) {
     guard_safeguards safeguards;
-    safeguards.mRefuseWithdrawn = checked;
+    safeguards.mRefuseWithdrawn = enabled;
     guard_fixture fixture(safeguards);
-    fixture.Lease(1, 1);
+    fixture.RequestLease(1, 1);
     fixture.mGuard.Withdraw(fixture.mNow);
     fixture.Dispatch(1, 1, 0);
-    CHECK(fixture.mBackend.mStarts == (checked ? 0 : 1));
+    CHECK(fixture.mBackend.mStarts == (enabled ? 0 : 1));
   }
 }
 
-TEST_CASE("a lease is not given away while it is in force")
+TEST_CASE("a lease is not granted to another entry while it is in force")
 {
   guard_fixture fixture;
-  fixture.Lease(1, 1);
-  fixture.Lease(2, 2);
+  fixture.RequestLease(1, 1);
+  fixture.RequestLease(2, 2);
   CHECK(fixture.mGuard.Epoch() == 1);
   fixture.Dispatch(2, 2, 0);
   CHECK(fixture.mBackend.mStarts == 0);
-  fixture.Pass(seconds(3));
-  fixture.Lease(2, 2);
+  fixture.Advance(seconds(3));
+  fixture.RequestLease(2, 2);
   fixture.Dispatch(2, 2, 0);
   CHECK(fixture.mBackend.mStarts == 1);
 }
 
-TEST_CASE("a full guard refuses instead of forgetting")
+TEST_CASE("a guard with the maximum of records refuses tasks and deletes none")
 {
-  // The records' budget is spent. Forgetting one would let its task start
-  // again, so new tasks are refused until old records expire.
+  // If a record were deleted early, its task could start again. New tasks are
+  // therefore refused until old records expire.
   guard_options options;
   options.mMaxRecords = 2;
   options.mRetention = seconds(10);
   guard_fixture fixture({}, options);
-  fixture.Lease(1, 1);
+  fixture.RequestLease(1, 1);
   fixture.Dispatch(1, 1, 0);
-  fixture.End(0);
+  fixture.EndTask(0);
   fixture.Dispatch(1, 1, 1);
-  fixture.End(1);
+  fixture.EndTask(1);
   fixture.Dispatch(1, 1, 2);
   CHECK(fixture.LastRefusal() == task_reason::Budget);
   for (int i = 0; i < 12; i++) {
-    fixture.Pass(seconds(1));
-    fixture.Lease(1, 1);
+    fixture.Advance(seconds(1));
+    fixture.RequestLease(1, 1);
   }
   fixture.Dispatch(1, 1, 3);
   CHECK(fixture.mBackend.mStarts == 3);
 }
 
-TEST_CASE("results over the byte budget are dropped oldest first, once "
+TEST_CASE("outputs over the byte limit are deleted oldest first, once "
           "acknowledged")
 {
   guard_options options;
   options.mMaxResultBytes = 100;
   guard_fixture fixture({}, options);
-  fixture.Lease(1, 1);
+  fixture.RequestLease(1, 1);
   for (uint32_t i = 0; i < 4; i++) {
     fixture.Dispatch(1, 1, i);
-    fixture.End(i, std::string(60, 'x'));
+    fixture.EndTask(i, std::string(60, 'x'));
     wire::result_ack_msg ack;
     ack.refs.push_back(RefOf({ 1, 2 }, i));
     fixture.mGuard.OnMessage(1, MakeMessage(std::move(ack)), fixture.mNow);
@@ -296,12 +299,12 @@
   CHECK(fixture.mGuard.Records() == 4);
 }
 
-TEST_CASE("a task over its time limit is cancelled and reported as run")
+TEST_CASE("a task that exceeds its time limit is cancelled and frees its slot")
 {
   guard_fixture fixture;
-  fixture.Lease(1, 1);
+  fixture.RequestLease(1, 1);
   fixture.Dispatch(1, 1, 0);
-  fixture.Pass(milliseconds(5200));
+  fixture.Advance(milliseconds(5200));
   CHECK(fixture.mBackend.mCancels == 1);
   CHECK(fixture.mGuard.Running() == 0);
 }
