--- a/cactusmast/api_json.cc
+++ b/cactusmast/api_json.cc
@@ -14,8 +14,8 @@
   return failure(error_code::BadRequest, "read submission", "caller", aText);
 }
 
-// Invalid UTF-8 in a backend server's output must not make the whole answer
-// unreadable, so it is replaced.
+// Serializes aObject. Invalid UTF-8 is replaced, because otherwise the output
+// of one task could make the whole answer unreadable.
 std::string
 Dump(const json& aObject)
 {
@@ -70,8 +70,8 @@
   }
 }
 
-// Refuses what a lenient reader would accept quietly: nesting far beyond any
-// sensible body, and keys that stand twice.
+// Parser callback that refuses what the JSON parser would silently accept:
+// excessive nesting, and duplicate keys of the outermost object.
 class strict_filter
 {
 public:
@@ -84,7 +84,7 @@
     if (aEvent == json::parse_event_t::key && aDepth == 1) {
       auto key = aParsed.get<std::string>();
       if (std::find(mSeen.begin(), mSeen.end(), key) != mSeen.end()) {
-        throw BadBody("key " + key + " stands twice");
+        throw BadBody("key " + key + " is duplicated");
       }
       mSeen.push_back(key);
     }
@@ -259,7 +259,7 @@
                  { "local", shard.mLocal },
                  { "workers", shard.mWorkers } };
     if (shard.mLocal) {
-      // Only the owner knows these.
+      // Only the owner of the shard knows these values.
       row["complete"] = shard.mComplete;
       row["queued"] = shard.mQueued;
       row["undecided_jobs"] = shard.mUndecided;
--- a/cactusmast/profile.cc
+++ b/cactusmast/profile.cc
@@ -129,7 +129,7 @@
   return aValue.get<bool>();
 }
 
-// Reads one key of a profile; false when the key is not known.
+// Reads one key of a profile. Returns false if the key is unknown.
 bool
 ReadProfileKey(const std::string& aKey, const json& aValue, profile* aOut)
 {
@@ -185,6 +185,7 @@
            { "queue_limit", aTeam.mQueueLimit } };
 }
 
+// Reads one key of a team. Returns false if the key is unknown.
 bool
 ReadTeamKey(const std::string& aKey, const json& aValue, team* aOut)
 {
@@ -200,8 +201,9 @@
   return true;
 }
 
-// Reads an object key by key. Strict refuses unknown keys (an operator's
-// typing mistake); a stored document ignores them (a newer version's field).
+// Reads an object key by key. An unknown key is an error if aStrict is set,
+// since an operator may have mistyped it. Otherwise it is ignored, since a
+// newer version may have written it to a stored document.
 template<typename T, typename Reader>
 T
 ReadObject(const json& aObject, Reader aReader, bool aStrict)
@@ -222,8 +224,8 @@
 result<T>
 ParseStrict(std::string_view aJson, Reader aReader)
 {
-  // The parser keeps the last of two equal keys silently, which would hide an
-  // operator's mistake, so duplicates are refused while parsing.
+  // Of two equal keys the parser silently keeps the last, which would hide an
+  // operator's mistake. Duplicates are therefore refused during parsing.
   std::vector<std::string> seen;
   auto refuseDuplicates =
     [&seen](int aDepth, json::parse_event_t aEvent, json& aParsed) {
@@ -232,7 +234,7 @@
       }
       for (const std::string& key : seen) {
         if (key == aParsed) {
-          throw Bad("key " + key + " stands twice");
+          throw Bad("key " + key + " is duplicated");
         }
       }
       seen.push_back(aParsed.get<std::string>());
--- a/cactusmast/settings.h
+++ b/cactusmast/settings.h
@@ -1,8 +1,9 @@
-// Settings of one process, read from a YAML file. Addresses, secrets and
-// budgets stand here; how work is treated stands in operators' profiles.
+// Settings of one process, read from a YAML file. They hold addresses, secrets
+// and resource limits; how jobs are treated is configured in operators'
+// profiles (profile.h).
 //
-// Reading is strict: an unknown key, a wrong type or a value out of range is
-// refused with the file, the line, the key and what is allowed.
+// Parsing is strict: an unknown key, a wrong type or a value out of range is
+// an error that names the file, the line, the key and the allowed values.
 
 #ifndef CACTUSMAST_SETTINGS_H_
 #define CACTUSMAST_SETTINGS_H_
@@ -17,37 +18,47 @@
 
 namespace cactusmast {
 
-// Common to all processes.
+// Settings common to entries and guards.
 struct process_settings
 {
-  std::string mName;
-  // HOST:PORT for other processes of the system, by number.
+  std::string mName; // unique among processes of the same role
+  // IP:PORT on which other processes of the system connect.
   std::string mListen;
-  // HOST:PORT of the HTTP server.
+  // IP:PORT of the HTTP server.
   std::string mHttp;
   std::string mDataCenter;
   std::string mRegion = "default";
   // Base URL of the platform's table service.
   std::string mTableUrl;
-  // Secret of the deployment, which its processes prove to each other.
+  // Secret of the deployment, with which its processes authenticate to each
+  // other.
   std::string mSharedKey;
+  // IP:PORT of entries to connect to at startup; may be empty.
   std::vector<std::string> mSeedEntries;
+  // Time for a drain; after that the process exits with work left.
   uint32_t mDrainTimeoutMs = 30000;
+  // Timeout of one request to the table service.
   uint32_t mTableTimeoutMs = 2000;
+  // Maximum size of one message between processes.
   uint32_t mMaxFrameBytes = 16u << 20;
+  // Maximum number of unsent bytes queued on one connection.
   uint32_t mMaxSendBytes = 32u << 20;
 };
 
 struct entry_settings
 {
   process_settings mProcess;
+  // Number of shards, if the table holds no configuration yet.
   uint32_t mInitialShards = 1;
+  // Time for which the answer of an ended job is kept.
   uint32_t mRetentionMs = 300000;
+  // Maximum total size of the outputs kept with answers; the oldest are
+  // dropped.
   uint32_t mMaxAnswerBytes = 24u << 20;
   uint32_t mMaxOpenRequests = 20000;
-  // Bearer tokens: who may change the configuration, and each team's own.
-  // Without team tokens, callers name their team in a header and are
-  // believed.
+  // Bearer tokens by name: of the operators who may change the configuration,
+  // and of the teams. Without team tokens, callers name their team in a header,
+  // which is trusted.
   std::map<std::string, std::string> mOperatorTokens;
   std::map<std::string, std::string> mTeamTokens;
   api_limits mApi;
@@ -56,20 +67,24 @@
 struct guard_settings
 {
   process_settings mProcess;
-  uint32_t mShard = 0;
+  uint32_t mShard = 0; // index of the shard that the guard serves
+  // Time for which records of ended tasks are kept.
   uint32_t mRetentionMs = 300000;
-  uint32_t mMaxRecords = 100000;
+  uint32_t mMaxRecords = 100000; // at this number, starts are refused
+  // Maximum total size of the results kept in records.
   uint32_t mMaxResultBytes = 24u << 20;
 };
 
-// Errors: BadRequest, with the file as the peer.
+// Parses aText; aFile is its name in error messages. Returns BadRequest, with
+// the file as the peer, if it is not valid.
 result<entry_settings>
 ReadEntrySettings(const std::string& aText, const std::string& aFile);
 
 result<guard_settings>
 ReadGuardSettings(const std::string& aText, const std::string& aFile);
 
-// Whether aText is settings of either kind; the "role" key tells which.
+// Checks settings of any program, which the key "role" selects. Returns the
+// role, or the first error.
 result<std::string>
 CheckSettings(const std::string& aText, const std::string& aFile);
 
--- a/cactusmast/settings_reader.h
+++ b/cactusmast/settings_reader.h
@@ -1,6 +1,6 @@
-// Reads a YAML mapping strictly: a key that nothing asked for, a wrong type or
-// a value out of range is refused with the file, the line, the key and what is
-// allowed. Shared by the settings files of all programs.
+// Strict reader of a YAML mapping: an unknown key, a wrong type or a value out
+// of range is an error that names the file, the line, the key and the allowed
+// values. Shared by the settings files of all programs.
 
 #ifndef CACTUSMAST_SETTINGS_READER_H_
 #define CACTUSMAST_SETTINGS_READER_H_
@@ -19,8 +19,9 @@
 namespace cactusmast {
 namespace detail {
 
-// Reads one mapping key by key and, at the end, refuses the keys that nothing
-// asked for.
+// Reads one mapping key by key; Finish then refuses the keys that were not
+// read. Each method that reads a key throws failure(BadRequest) if the value is
+// not valid, and leaves *aOut unchanged if an optional key is absent.
 class settings_reader
 {
 public:
@@ -35,7 +36,7 @@
     for (const auto& entry : mNode) {
       auto key = entry.first.as<std::string>();
       if (!seen.insert(key).second) {
-        throw Bad(entry.first, key, "stands twice");
+        throw Bad(entry.first, key, "is duplicated");
       }
     }
   }
@@ -52,6 +53,7 @@
     *aOut = value.Scalar();
   }
 
+  // An address as IP:PORT.
   void Address(const std::string& aKey, bool aRequired, std::string* aOut)
   {
     Text(aKey, aRequired, aOut);
@@ -60,14 +62,16 @@
     }
   }
 
+  // A list of addresses as IP:PORT; empty if the key is absent.
   void Addresses(const std::string& aKey, std::vector<std::string>* aOut)
   {
-    for (const YAML::Node& item : List(aKey, "must be a list of HOST:PORT")) {
+    for (const YAML::Node& item : List(aKey, "must be a list of IP:PORT")) {
       CheckAddress(item, aKey, item.Scalar());
       aOut->push_back(item.Scalar());
     }
   }
 
+  // A list of scalars; empty if the key is absent.
   void Names(const std::string& aKey, std::vector<std::string>* aOut)
   {
     for (const YAML::Node& item : List(aKey, "must be a list of names")) {
@@ -75,6 +79,7 @@
     }
   }
 
+  // An optional whole number from aMin to aMax.
   void Number(const std::string& aKey,
               uint32_t aMin,
               uint32_t aMax,
@@ -94,6 +99,7 @@
     *aOut = uint32_t(number);
   }
 
+  // An optional mapping of names to bearer tokens.
   void Tokens(const std::string& aKey, std::map<std::string, std::string>* aOut)
   {
     YAML::Node value = Find(aKey, false);
@@ -114,6 +120,7 @@
     }
   }
 
+  // Throws failure(BadRequest) for the first key that no method has read.
   void Finish() const
   {
     for (const auto& entry : mNode) {
@@ -125,7 +132,7 @@
   }
 
 private:
-  // The scalars of a list; none when the key is absent.
+  // The items of a list of scalars; empty if the key is absent.
   std::vector<YAML::Node> List(const std::string& aKey,
                                const std::string& aExpected)
   {
@@ -146,6 +153,7 @@
     return items;
   }
 
+  // The value of aKey; an undefined node if it is absent and not required.
   YAML::Node Find(const std::string& aKey, bool aRequired)
   {
     mAsked.insert(aKey);
@@ -172,7 +180,7 @@
     }
     if (!good) {
       throw Bad(
-        aNode, aKey, "must be an IP number and a port, as 127.0.0.1:80");
+        aNode, aKey, "must be an IP address and a port, such as 127.0.0.1:80");
     }
   }
 
@@ -193,6 +201,7 @@
   std::set<std::string> mAsked;
 };
 
+// Parses aText as YAML; throws failure(BadRequest) with file and line.
 inline YAML::Node
 Load(const std::string& aText, const std::string& aFile)
 {
@@ -207,6 +216,7 @@
   }
 }
 
+// Calls aRead and returns its value, or what it throws as a failure.
 template<typename T>
 result<T>
 CatchErrors(const std::string& aFile, const std::function<T()>& aRead)
@@ -221,8 +231,8 @@
   }
 }
 
-// Reads a whole settings file: aRead takes the values from the reader, and what
-// it does not ask for is refused.
+// Reads a whole settings file with aRead(settings_reader&, T*). Keys that aRead
+// does not read are errors.
 template<typename T, typename Read>
 result<T>
 ReadSettingsFile(const std::string& aText, const std::string& aFile, Read aRead)
--- a/cactusmast/testing/settings_test.cc
+++ b/cactusmast/testing/settings_test.cc
@@ -1,4 +1,5 @@
-// Settings and profiles: what is accepted, and how mistakes are reported.
+// Tests of the parsers of settings, profiles and submissions: what they accept,
+// and how they report errors.
 
 #include <doctest/doctest.h>
 #include <random>
@@ -27,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("good settings are read with their defaults")
+TEST_CASE("valid settings are parsed, and absent keys get their defaults")
 {
   entry_settings settings = ReadEntrySettings(kGoodEntry, "e.yaml").Value();
   CHECK(settings.mProcess.mName == "entry-1");
@@ -35,15 +36,15 @@
   CHECK(CheckSettings(kGoodEntry, "e.yaml").Value() == "entry");
 }
 
-TEST_CASE("mistakes in settings name file, line, key and what is allowed")
+TEST_CASE("errors in settings name the file, line, key and allowed values")
 {
   const bad_settings kCases[] = {
     { kGoodEntry + "retention: 5\n", "e.yaml:8: retention is not a known key" },
     { kGoodEntry + "retention_ms: 5\n",
       "e.yaml:8: retention_ms must be a whole number from 1000" },
     { kGoodEntry + "retention_ms: soon\n", "must be a whole number" },
-    { kGoodEntry + "name: again\n", "e.yaml:8: name stands twice" },
-    { kGoodEntry + "seed_entries: [somewhere:80]\n", "must be an IP number" },
+    { kGoodEntry + "name: again\n", "e.yaml:8: name is duplicated" },
+    { kGoodEntry + "seed_entries: [somewhere:80]\n", "must be an IP address" },
     { kGoodEntry + "operator_tokens: { alice: short }\n", "16 characters" },
     { "role: entry\nname: x\n", "listen is missing" },
     { "role: [\n", "e.yaml:" },
@@ -57,7 +58,7 @@
   }
 }
 
-TEST_CASE("mistakes in profiles name the key and the range")
+TEST_CASE("errors in profiles name the key and the allowed values")
 {
   const bad_settings kCases[] = {
     { R"({"name":"a","service":"s","deadline":5})", "unknown key deadline" },
@@ -68,7 +69,7 @@
       "response_time, messages" },
     { R"({"name":"a b","service":"s"})", "letters, digits" },
     { R"({"name":"a"})", "service is missing" },
-    { R"({"name":"a","name":"b","service":"s"})", "stands twice" },
+    { R"({"name":"a","name":"b","service":"s"})", "is duplicated" },
     { R"([])", "must be an object" },
     { R"({)", "parse error" },
   };
@@ -80,7 +81,7 @@
   }
 }
 
-TEST_CASE("a profile and a document survive being written and read")
+TEST_CASE("profiles and documents are unchanged when serialized and parsed")
 {
   profile made;
   made.mName = "quote";
@@ -99,17 +100,17 @@
   CHECK(deployment_config::Parse(text).Value().Serialize() == text);
 }
 
-TEST_CASE("a document from a newer version is readable")
+TEST_CASE("a document with unknown fields from a newer version is parsed")
 {
-  // An older process reads what a newer one wrote during a rolling
-  // replacement. Fields it does not know must not make it fail.
+  // During a rolling update, an older process reads documents that a newer one
+  // wrote. Fields that it does not know must not make it fail.
   std::string text = R"({"version":4,"shard_count":1,"new":true,"profiles":
     [{"name":"quote","service":"ordering","colour":"red"}]})";
   deployment_config config = deployment_config::Parse(text).Value();
   CHECK(config.mProfiles.count("quote") == 1);
 }
 
-TEST_CASE("bad submissions are refused with a reason")
+TEST_CASE("invalid submissions are refused with a reason")
 {
   const bad_settings kCases[] = {
     { "", "parse error" },
@@ -120,7 +121,7 @@
     { R"({"profile":"a","tasks":[1],"deadline_ms":0})", "deadline_ms" },
     { R"({"profile":"a","tasks":[1],"deadline_ms":-5})", "deadline_ms" },
     { R"({"profile":"a","tasks":[1],"more":0})", "unknown key more" },
-    { R"({"profile":"a","profile":"b","tasks":[1]})", "stands twice" },
+    { R"({"profile":"a","profile":"b","tasks":[1]})", "is duplicated" },
     { "{\"profile\":\"a\",\"tasks\":[" + std::string(5000, '[') + "1" +
         std::string(5000, ']') + "]}",
       "nested too deeply" },
@@ -133,7 +134,7 @@
   }
 }
 
-TEST_CASE("random bytes never break a reader")
+TEST_CASE("no parser crashes on random bytes")
 {
   std::mt19937 random(11);
   const std::string kSeeds[] = {
@@ -146,8 +147,8 @@
     for (int edits = 1 + int(random() % 5); edits > 0; edits--) {
       text[random() % text.size()] = char(random());
     }
-    // Each ends with a value or an error; anything else is caught by the
-    // sanitizers or ends the test run.
+    // Each call must return a value or an error. Any other outcome ends the
+    // test run or is reported by the sanitizers.
     ReadEntrySettings(text, "f");
     ReadGuardSettings(text, "f");
     ParseSubmission(text, {});
