--- a/cactusmast/config_agent.cc
+++ b/cactusmast/config_agent.cc
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// Between attempts of one step while the table does not answer.
+// Interval between retries of a step while the table is unavailable.
 constexpr duration kRetryDelay = std::chrono::milliseconds(200);
 constexpr char kDocumentKey[] = "config/document";
 constexpr std::array<std::string_view, size_t(change_action::Count)>
@@ -27,6 +27,7 @@
   return nullptr;
 }
 
+// Parses a decimal version; 0 if aText is not one.
 uint64_t
 ParseVersion(const std::string& aText)
 {
@@ -40,6 +41,7 @@
   return version;
 }
 
+// The profile or team that aChange is about, as in aConfig; null if absent.
 json
 Described(const deployment_config& aConfig, const config_change& aChange)
 {
@@ -55,6 +57,7 @@
            : json::parse(SerializeProfile(found->second));
 }
 
+// The revision of the profile that aChange is about; 0 if it is not in aConfig.
 uint64_t
 RevisionOf(const deployment_config& aConfig, const config_change& aChange)
 {
@@ -62,6 +65,7 @@
   return found == aConfig.mProfiles.end() ? 0 : found->second.mRevision;
 }
 
+// The fields that audit rows of accepted and refused changes share.
 json
 ChangeRecord(const config_change& aChange, int64_t aWallSeconds)
 {
@@ -132,7 +136,7 @@
     bool written = mStep == step::Commit || mStep == step::ReadBack;
     Refuse(error_code::Unavailable,
            written ? run_state::Unknown : run_state::NotRun,
-           "the table does not answer; see the audit trail for operation " +
+           "the table is unavailable; see the audit trail for operation " +
              mPending.front().mChange.mOperation,
            aWallSeconds);
   }
@@ -145,7 +149,7 @@
     throw failure(error_code::Overloaded,
                   "change configuration",
                   "",
-                  "too many changes wait",
+                  "too many changes are queued",
                   run_state::NotRun,
                   std::chrono::seconds(1));
   }
@@ -182,7 +186,8 @@
     return true;
   }
   if (aReply.mRequest == mInitialRequest) {
-    mInitialRequest = 0; // the next poll finds it, whoever wrote it
+    // The next poll reads the version, whichever process has written it.
+    mInitialRequest = 0;
     return true;
   }
   if (aReply.mRequest != mChangeRequest) {
@@ -265,8 +270,9 @@
     return;
   }
   if (!Loaded() && !mTableTried) {
-    // This process has just started, and the peer may be the one that lags.
-    // The table is asked first; the newest offer counts if it is away.
+    // This process has just started, and the peer's document may be outdated.
+    // The table is read first; if it is unavailable, the newest document that
+    // a peer has pushed is installed.
     if (aVersion > mOfferedVersion) {
       mOfferedVersion = aVersion;
       mOffered = aDocument;
@@ -406,8 +412,9 @@
              "" });
     return;
   }
-  // A conflict may be this change's own earlier commit whose reply was lost,
-  // so both cases look at who holds the version.
+  // A conflict may be due to an earlier commit of this same change whose reply
+  // was lost. Therefore the audit row of the version is read after a conflict
+  // as well as after a failure.
   if (!mSafeguards.mReadBack) {
     StartChange();
     return;
@@ -437,8 +444,8 @@
   }
   const table_row* row = FindRow(aReply, AuditKey(mNext.mVersion));
   if (row == nullptr) {
-    // Not written, or not yet: the same conditional commit again succeeds at
-    // most once.
+    // The transaction has not been executed, or not yet. It can be sent again,
+    // since its conditions let it succeed at most once.
     SubmitCommit();
     return;
   }
@@ -469,8 +476,8 @@
   row["outcome"] = aRun == run_state::Unknown ? "unknown" : "refused";
   row["error"] = Name(aCode);
   row["text"] = aText;
-  // Best effort: an outage of the table that refuses a change also keeps its
-  // row out; the log has it either way.
+  // Best effort: in an outage of the table the row is not written either. The
+  // log has the refusal in any case.
   mTable.Commit(
     { { "refused/" + std::to_string(aWallSeconds) + "-" + change.mOperation,
         row.dump(),
--- a/cactusmast/config_agent.h
+++ b/cactusmast/config_agent.h
@@ -1,23 +1,24 @@
 // The configuration in force, and changes to it.
 //
-// The whole configuration is one document in one row of the platform's table,
-// beside a small row with its version. Every entry polls the small row each
-// second and fetches the document when it moved; entries pass a new document
-// on to the guards they own and to other entries, so that a process that
-// cannot reach the table learns of changes all the same.
+// The whole configuration is one document in one row of the platform's table;
+// a second, small row holds its version. Every entry polls the small row each
+// second and reads the document if the version has grown. Entries push a new
+// document to the guards of their shards and to other entries, so that changes
+// also reach a process that cannot reach the table.
 //
-// A change is a compare-and-set: the operator names the revision of the
-// profile that he saw, and gets a conflict that shows the other's change when
-// it is no longer the latest. The document, the version row and the audit row
-// are written in one transaction. The audit row's key is the new version and
-// it carries the operation's identity, so when the reply to a commit is lost,
-// reading that one row tells whether this change, another one, or none took
-// that version: the operator is told the truth.
+// A change is a compare-and-set: the operator sends the revision of the profile
+// that the change is based on, and gets a conflict that shows the current
+// profile if that revision is no longer the latest. The document, the version
+// row and the audit row are written in one transaction. The key of the audit
+// row is the new version, and the row holds the identity of the operation.
+// When the reply to a commit is lost, reading that one row therefore tells
+// whether this change, another one or none got that version, and the operator
+// gets the true outcome.
 //
-// Versions only grow, here and in every process: an older document is never
-// taken after a newer one, wherever it comes from. A process that restarts
-// reads the table before it serves; only when the table does not answer does
-// it take a document from a peer, the newest it is offered.
+// Versions only grow in every process: an older document never replaces a newer
+// one, whatever its source. A restarted process reads the table before it
+// serves. Only if the table is unavailable does it install a document pushed by
+// a peer, the newest that it has received.
 
 #ifndef CACTUSMAST_CONFIG_AGENT_H_
 #define CACTUSMAST_CONFIG_AGENT_H_
@@ -35,22 +36,22 @@
 struct config_options
 {
   duration mPollInterval = std::chrono::seconds(1);
-  // Without a successful poll for this long, the version is not confirmed.
+  // The configuration is stale if no poll has succeeded for this long.
   duration mStaleAfter = std::chrono::seconds(3);
-  // A change that could not be settled within this time is answered as
-  // unknown.
+  // A change that is not complete after this time fails; its outcome is unknown
+  // if a write was sent.
   duration mChangeTimeout = std::chrono::seconds(5);
   size_t mMaxPendingChanges = 64;
-  // Used when the table holds no configuration yet.
+  // Number of shards, if the table holds no configuration yet.
   uint32_t mInitialShardCount = 1;
 };
 
-// Safeguards that tests switch off to show what each is for.
+// Safeguards that tests switch off to show that each is needed.
 struct config_safeguards
 {
-  bool mCompareRevision = true;
-  bool mReadBack = true;
-  bool mMonotonicVersion = true;
+  bool mCompareRevision = true;  // refuse changes of an outdated revision
+  bool mReadBack = true;         // read the audit row if a commit is in doubt
+  bool mMonotonicVersion = true; // ignore older documents
 };
 
 enum class change_action : uint8_t
@@ -64,37 +65,40 @@
 std::string_view
 Name(change_action aAction);
 
-// An operator's change. Text fields come from outside and are bounded by the
-// API layer.
+// An operator's change. The API layer limits the length of the text fields.
 struct config_change
 {
-  uint64_t mToken = 0; // chosen by the caller, returned with the outcome
+  uint64_t mToken = 0; // chosen by the caller of Change; is in the outcome
   change_action mAction = change_action::PutProfile;
-  profile mProfile; // the name alone counts when retiring
-  team mTeam;
-  // The revision the operator saw; 0 to create. Teams have none.
+  profile mProfile; // only the name is used by RetireProfile
+  team mTeam;       // used by PutTeam
+  // Revision of the profile that the change is based on; 0 to create it. Not
+  // used for teams, which have no revision.
   uint64_t mExpectedRevision = 0;
-  std::string mWho;
-  std::string mReason;
-  std::string mOperation; // unique
+  std::string mWho;       // name of the operator
+  std::string mReason;    // for the audit trail
+  std::string mOperation; // unique identity of this change
 };
 
 struct change_outcome
 {
-  uint64_t mToken = 0;
+  uint64_t mToken = 0; // as in config_change
   bool mAccepted = false;
-  uint64_t mVersion = 0;
-  uint64_t mRevision = 0;
+  uint64_t mVersion = 0;  // of the new document; 0 if not accepted
+  uint64_t mRevision = 0; // new one of the profile; 0 if not accepted
   error_code mError = error_code::None;
+  // Unknown if it is in doubt whether the change was written.
   run_state mRunState = run_state::NotRun;
-  std::string mText;
+  std::string mText; // of the error; empty if accepted
 };
 
 class config_listener
 {
 public:
   virtual ~config_listener() = default;
+  // A new document is in force.
   virtual void OnConfigInForce(const deployment_config& aConfig) = 0;
+  // Called exactly once for each change that was queued.
   virtual void OnChangeDone(const change_outcome& aOutcome) = 0;
 };
 
@@ -107,30 +111,35 @@
                config_listener& aListener,
                config_safeguards aSafeguards = {});
 
+  // aWallSeconds: time of day in seconds since the epoch, for audit rows.
   void Tick(instant aNow, int64_t aWallSeconds);
-  // True when the reply was for this agent.
+  // Returns whether the reply belongs to a request of this agent.
   bool OnTableReply(const table_reply& aReply,
                     instant aNow,
                     int64_t aWallSeconds);
-  // A peer's document; ignored unless newer.
+  // Handles a document pushed by a peer. It is ignored unless it is newer.
   void OnPushed(uint64_t aVersion, const std::string& aDocument);
 
-  // Throws failure(Overloaded) when too many changes wait.
+  // Queues a change; OnChangeDone reports its outcome. Throws
+  // failure(Overloaded) if too many changes are queued.
   void Change(const config_change& aChange, instant aNow);
 
   const deployment_config& InForce() const { return mConfig; }
+  // The document in force as JSON; empty if none is known.
   const std::string& Document() const { return mDocument; }
+  // Whether a document is in force.
   bool Loaded() const { return mConfig.mVersion > 0; }
-  // The table confirmed the version recently.
+  // Whether a poll of the table has succeeded within mStaleAfter.
   bool Fresh(instant aNow) const;
 
 private:
+  // What the first queued change waits for.
   enum class step : uint8_t
   {
-    Idle,
-    ReadCurrent,
-    Commit,
-    ReadBack
+    Idle,        // no change is queued
+    ReadCurrent, // the current document
+    Commit,      // the reply to the transaction
+    ReadBack     // the audit row, which tells the outcome of the transaction
   };
 
   struct pending_change
@@ -139,25 +148,35 @@
     instant mDeadline{};
   };
 
+  // Starts the first queued change, or starts it again with the current
+  // document.
   void StartChange();
+  // Sends the read of the current step; called when mRetryAt is reached.
   void RetryStep();
   void OnCurrent(const table_reply& aReply, int64_t aWallSeconds);
   void OnCommitted(const table_reply& aReply);
   void OnReadBack(const table_reply& aReply);
   void OnPolled(const table_reply& aReply, instant aNow);
   void OnDocument(const table_reply& aReply);
+  // Writes the first document, with version 1 and no profiles. The transaction
+  // fails if another process has written one.
   void CommitInitial();
+  // Sends the transaction of the first queued change.
   void SubmitCommit();
-  // Builds the next document, or throws failure(Conflict).
+  // Returns the document with the first queued change applied to aBase. Throws
+  // failure(Conflict) or failure(NotFound).
   deployment_config Apply(const deployment_config& aBase) const;
   std::string AuditRow(const deployment_config& aBase,
                        const deployment_config& aNext,
                        int64_t aWallSeconds) const;
+  // Reports the outcome of the first queued change and starts the next one.
   void Finish(const change_outcome& aOutcome);
+  // Writes a row about the refused change for the audit trail and finishes it.
   void Refuse(error_code aCode,
               run_state aRun,
               const std::string& aText,
               int64_t aWallSeconds);
+  // Puts a document in force if it is valid and newer.
   void Install(const std::string& aDocument);
 
   config_options mOptions;
@@ -166,31 +185,36 @@
   config_listener& mListener;
   config_safeguards mSafeguards;
 
-  deployment_config mConfig;
-  std::string mDocument;
-  bool mTableSeen = false;
+  deployment_config mConfig; // in force
+  std::string mDocument;     // the same as JSON
+  bool mTableSeen = false;   // some poll has succeeded
   bool mStaleReported = false;
-  bool mTableTried = false;
-  uint64_t mTableVersion = 0; // the newest that the table has told
+  bool mTableTried = false;   // some poll was answered, if only by an error
+  uint64_t mTableVersion = 0; // newest version read from the table
+  // The newest document that a peer pushed before the first poll was answered;
+  // 0 and empty if there is none.
   uint64_t mOfferedVersion = 0;
-  std::string mOffered; // by a peer, before the table was asked
-  instant mLastConfirmed{};
+  std::string mOffered;
+  instant mLastConfirmed{}; // time of the last successful poll
   instant mNextPoll{};
+  // Open requests to the table; 0 if there is none.
   uint64_t mPollRequest = 0;
   uint64_t mDocumentRequest = 0;
   uint64_t mInitialRequest = 0;
 
+  // Queued changes. They are written one at a time; the first one is in
+  // progress, and the members below belong to it.
   std::deque<pending_change> mPending;
   step mStep = step::Idle;
-  uint64_t mChangeRequest = 0;
+  uint64_t mChangeRequest = 0; // open request to the table; 0: none
   std::vector<table_write> mWrites;
-  deployment_config mNext;
-  uint64_t mNextRevision = 0;
-  instant mRetryAt{};
-  instant mNow{}; // of the latest call
+  deployment_config mNext;    // the document with the change applied
+  uint64_t mNextRevision = 0; // of the profile in mNext
+  instant mRetryAt{};         // 0: no retry is due
+  instant mNow{};             // of the latest call
 };
 
-// The key of the audit row of aVersion.
+// The key of the audit row for the change that made aVersion.
 std::string
 AuditKey(uint64_t aVersion);
 
