--- a/cactusmast/entry_membership.cc
+++ b/cactusmast/entry_membership.cc
@@ -1,5 +1,5 @@
-// The membership side of entry_node: who owns which shard, which entries
-// there are, and the rows in the platform's table that tell.
+// The membership part of entry_node: ownership of shards, known entries, and
+// the rows in the platform's table that list entries and workers.
 
 #include <algorithm>
 #include <cstdlib>
@@ -15,10 +15,11 @@
 
 constexpr uint32_t kMaxEntryRows = 256;
 constexpr uint32_t kMaxRosterRows = 1024;
-constexpr milliseconds kRosterInterval{ 200 };
-constexpr milliseconds kEntriesInterval{ 5000 };
-constexpr milliseconds kDialInterval{ 1000 };
+constexpr milliseconds kRosterInterval{ 200 };   // between writes of a roster
+constexpr milliseconds kEntriesInterval{ 5000 }; // between reads of the rows
+constexpr milliseconds kDialInterval{ 1000 };    // between connection attempts
 
+// The row of a roster lists the workers of a shard that may hold records.
 constexpr char kRosterPrefix[] = "roster/";
 
 std::string
@@ -27,6 +28,7 @@
   return kRosterPrefix + std::to_string(aShard);
 }
 
+// Adds aWorker to aInto, or updates when it was last alive.
 void
 MergeKnown(std::vector<known_worker>* aInto, const known_worker& aWorker)
 {
@@ -92,7 +94,7 @@
   peer_id best = 0;
   uint64_t bestWeight = 0;
   for (const auto& [peer, row] : mPeers) {
-    // An entry that knows no configuration yet would refuse the open jobs.
+    // An entry without a configuration would refuse the open jobs.
     bool able = IsLiveEntry(row, aNow) && !row.mStatus.draining &&
                 row.mStatus.config_version > 0;
     if (!able) {
@@ -132,9 +134,9 @@
   }
 }
 
-// The rosters in the table name workers that may hold records, among them
-// some that this process has never heard of. Every entry reads them now and
-// then, so that it can take a shard over while the table is away.
+// The rosters in the table list workers that may hold records, including those
+// that have never been connected to this process. Every entry reads them
+// periodically, so that it can claim a shard while the table is unavailable.
 void
 entry_node::OnRosters(const table_reply& aReply, instant aNow)
 {
@@ -176,8 +178,8 @@
     MergeKnown(&known, worker);
   }
   if (!mRostersRead) {
-    // The table is away and this process is new: there may be workers with
-    // records that it cannot know of.
+    // No roster has been read since the start, so there may be workers with
+    // records that this process does not know.
     known.push_back({ kUnlistedWorker, 0, aNow });
   }
   duration retention = mOptions.mOwner.mJobs.mRetention;
@@ -221,7 +223,7 @@
     }
     PushConfig(peer);
   }
-  mNextStatus = aNow; // others stop looking for an owner
+  mNextStatus = aNow; // so that other entries route to this one soon
 }
 
 void
@@ -273,8 +275,9 @@
       }
     }
     if (!waitedFor) {
-      // Nobody waits for it here; it still has to reach its new owner, which
-      // replies at once that it runs.
+      // No request here waits for the job, but it still has to be sent to its
+      // new owner. Since mUntil is now, that one immediately replies that the
+      // job is running.
       request_row row;
       row.mKind = request_kind::Submit;
       row.mTeam = job.mSubmission.mTeam;
@@ -293,7 +296,7 @@
       Answer(waiting.mToken, std::move(again));
     }
   }
-  // Requests that the owner still held in other ways look for the new one.
+  // Any other requests that the owner held are routed again as well.
   for (auto& [token, row] : mRequests) {
     if (row.mState == request_state::Local &&
         ShardOf(row.mId, ShardCount()) == aShard) {
@@ -313,7 +316,7 @@
   shard.mEpochSeen = std::max(shard.mEpochSeen, aPart.epoch);
   if (shard.mOwner == nullptr) {
     if (mDraining || !mConfig.Loaded()) {
-      return; // the shard's next owner asks the guards instead
+      return; // the next owner collects the guards' records instead
     }
     Claim(aPart.shard, shard.mEpochSeen + 1, aNow);
   }
@@ -333,7 +336,8 @@
     shard.mEpochSeen = std::max(shard.mEpochSeen, owned.epoch);
   }
   if (aStatus.config_version < row.mPushedVersion) {
-    row.mPushedVersion = aStatus.config_version; // it restarted or lost it
+    // The peer has restarted or the document was lost, so it is sent again.
+    row.mPushedVersion = aStatus.config_version;
   }
   PushConfig(aPeer);
   for (uint32_t number = 0; number < ShardCount(); number++) {
@@ -386,8 +390,8 @@
   }
 }
 
-// Entries that have not been heard for a while are cut off, in case the link
-// went silent and a new one would work.
+// Links to entries that have timed out are closed, because a new connection may
+// work where the old one has silently failed.
 void
 entry_node::CheckEntryLinks(instant aNow)
 {
@@ -420,8 +424,8 @@
       bool entry = row.mIdentity.mRole == process_role::Entry;
       connected = connected || (entry && row.mIdentity.mAddress == address);
     }
-    // One of the two dials, so that they do not keep replacing each other's
-    // links.
+    // Only one entry of each pair connects. Otherwise both would keep replacing
+    // each other's links.
     if (!connected && mOptions.mAddress < address) {
       mNetwork.Connect(address);
     }
@@ -467,7 +471,8 @@
     }
     int64_t age = mWallSeconds - listed.value("renewed", int64_t(0));
     if (age > 2 * mOptions.mRowLifeSeconds) {
-      // Left by an instance that failed; its name does not come back.
+      // The row was left by an instance that failed. Its name is not used
+      // again.
       mTable.Commit({ { row.mKey, "", row.mVersion, true } });
     } else if (age <= mOptions.mRowLifeSeconds) {
       addresses[listed.value("name", "")] = listed.value("address", "");
@@ -481,7 +486,7 @@
   bool changed = addresses != mEntryAddresses;
   mEntryAddresses = std::move(addresses);
   if (changed) {
-    mNextGuardStatus = {}; // guards learn of the new set with the next status
+    mNextGuardStatus = {}; // send the addresses with the next status
   }
 }
 
@@ -495,9 +500,9 @@
       continue;
     }
     if (!mRostersRead) {
-      // Writing now would wipe out the names of workers that the previous
-      // owner listed and this process has yet to read. Until then only
-      // processes that saw a worker know that it may hold records.
+      // A write would delete workers that the previous owner listed and that
+      // this process has not read yet. Until it has, only the processes to
+      // which a worker was connected know that it may hold records.
       shard.mOwner->OnRosterStored(shard.mOwner->RosterVersion());
       continue;
     }
@@ -552,9 +557,9 @@
     if (aReply.mStatus == table_status::Ok) {
       shard.mStoredVersion = shard.mStoringVersion;
     }
-    // Without the table, workers are given work all the same; until the row
-    // can be written, only processes that saw them know that they may hold
-    // records.
+    // Workers get tasks even if the row could not be written. Until it is
+    // written, only the processes to which they were connected know that they
+    // may hold records.
     if (shard.mOwner != nullptr) {
       shard.mOwner->OnRosterStored(shard.mStoringVersion);
     }
--- a/cactusmast/entry_node.cc
+++ b/cactusmast/entry_node.cc
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-// Peers, configuration and planned stops. Callers' requests and their routing
-// are in entry_requests.cc; ownership, membership and rows in the table are in
+// Peers, configuration and drain. Callers' requests and their routing are in
+// entry_requests.cc; ownership, membership and rows in the table are in
 // entry_membership.cc.
 
 namespace cactusmast {
@@ -11,6 +11,7 @@
 
 using std::chrono::milliseconds;
 
+// Interval at which overdue requests are checked while none is pending.
 constexpr milliseconds kIdleRouteInterval{ 1000 };
 
 std::string
@@ -72,7 +73,7 @@
   mEvents.Emit(event_code::PeerUp, { { "peer", PeerName(aIdentity) } });
   if (aIdentity.mRole == process_role::Entry) {
     mEntryAddresses[aIdentity.mName] = aIdentity.mAddress;
-    mNextStatus = aNow; // tell it at once what is owned here
+    mNextStatus = aNow; // report the shards owned here immediately
     return;
   }
   NoteSeen(aIdentity, aNow);
@@ -103,7 +104,8 @@
     }
     NoteSeen(row.mIdentity, aNow);
     if (row.mWorkerKnown && row.mWorker.records_kept) {
-      // Other guards took its records before it left; they are not missing.
+      // Other guards copied its records before it stopped, so that no records
+      // are missing.
       std::vector<known_worker>& seen = Shard(row.mIdentity.mShard).mSeen;
       const peer_identity& left = row.mIdentity;
       seen.erase(std::remove_if(seen.begin(),
@@ -120,9 +122,9 @@
   ForgetOwner(aPeer, aNow);
 }
 
-// Requests with an entry that went away go to the shard's next owner. The
-// first one may have started their tasks; the next one learns of those from
-// the guards' records before it accepts them.
+// Requests that were forwarded to a lost entry go to the next owner of the
+// shard. The lost one may have started their tasks; the next one learns of
+// these starts from the guards' records before it accepts the requests.
 void
 entry_node::ForgetOwner(peer_id aPeer, instant aNow)
 {
@@ -354,7 +356,7 @@
   }
   for (const auto& [number, shard] : mShards) {
     if (shard.mOwner != nullptr && shard.mOwner->Jobs().Undecided() > 0) {
-      return false; // the last entry: it finishes what it holds
+      return false; // there is no successor: its jobs end here
     }
   }
   return true;
@@ -376,7 +378,7 @@
     left.push_back(token);
   }
   for (uint64_t token : left) {
-    FailRequest(token, "this entry stopped before the answer was known");
+    FailRequest(token, "this entry stopped before the job ended");
   }
 }
 
--- a/cactusmast/entry_node.h
+++ b/cactusmast/entry_node.h
@@ -1,23 +1,23 @@
-// The decisions of an entry: callers' requests, ownership of shards,
+// The logic of an entry process: callers' requests, ownership of shards,
 // membership and configuration.
 //
-// Every job belongs to one shard by its identity, and every shard has one
-// owner among the entries. An entry that gets a request for another's shard
-// passes it on, keeps the submission until the answer is back, and passes it
-// to the next owner if the first one goes away: resubmission is safe, so the
-// caller notices nothing.
+// The identity of a job determines its shard, and every shard has one owner
+// among the entries. An entry that gets a request for a shard of another owner
+// forwards it, keeps the submission until the answer arrives, and forwards it
+// to the next owner if the first one is lost. This is transparent to the
+// caller, because resubmission is safe.
 //
-// Ownership is sticky. A live owner keeps its shard until it stops as planned
-// or is no longer heard; a new entry takes over only shards that nobody owns,
-// and among several candidates the one with the greatest rendezvous weight.
-// Two entries that cannot hear each other may both claim a shard, but the
-// guards lease to one of them at a time (guard_node.h), so the other gets no
-// slots; when they hear each other again, the one with fewer leases steps
-// down.
+// Ownership is sticky. A live owner keeps its shard until it drains or times
+// out. An entry claims only shards without an owner; among several candidates,
+// the one with the greatest rendezvous weight claims the shard. Two entries
+// that receive no messages from each other may both claim a shard, but the
+// guards grant their leases to one of them at a time (guard_node.h), so the
+// other gets no slots. Once messages arrive again, the one with fewer leases
+// steps down.
 //
-// Entries find each other through leased rows in the platform's table and
-// through what connected peers tell; guards connect to every entry. Neither
-// the table nor any single entry is needed for what already runs.
+// Entries find each other through expiring rows in the platform's table and
+// through connected peers; guards connect to every entry. Running tasks depend
+// neither on the table nor on any single entry.
 
 #ifndef CACTUSMAST_ENTRY_NODE_H_
 #define CACTUSMAST_ENTRY_NODE_H_
@@ -37,7 +37,8 @@
 
 namespace detail {
 
-// Requests whose shard has no known owner are routed again this often.
+// Interval at which requests are routed again while their shard has no known
+// owner.
 constexpr duration kRouteInterval = std::chrono::milliseconds(50);
 
 } // namespace detail
@@ -45,55 +46,64 @@
 struct entry_options
 {
   std::string mName;
-  uint64_t mIncarnation = 0;
-  std::string mAddress;
+  uint64_t mIncarnation = 0; // distinguishes restarts of the process
+  std::string mAddress;      // IP:PORT, on which peers connect
   std::string mDataCenter;
   std::string mRegion;
-  // Entries to try before the table has told which there are.
+  // Addresses of entries to connect to, also before the table has been read.
   std::vector<std::string> mSeedEntries;
   owner_options mOwner;
   config_options mConfig;
-  // Secret of the deployment; seeds job identities, so that callers cannot
-  // make two keys collide.
+  // Derived from the secret of the deployment. It seeds the hash that makes job
+  // identities, so that callers cannot make two keys collide.
   uint64_t mIdentitySeed = 0;
+  // Interval of the status messages to other entries.
   duration mStatusInterval = std::chrono::seconds(1);
-  // Other entries not heard for this long are taken as dead.
+  // An entry that has sent no message for this long has timed out.
   duration mPeerTimeout = std::chrono::seconds(3);
-  // After a start, time to hear of the owners there are.
+  // Time after a start before shards are claimed, in which other entries report
+  // what they own.
   duration mElectionDelay = std::chrono::milliseconds(1500);
-  // A request waits this long for its shard to have an owner.
+  // A request fails if its shard has no known owner for this long.
   duration mRouteTimeout = std::chrono::seconds(6);
+  // Interval at which the entry renews its row in the table, and the age at
+  // which rows of other entries expire.
   duration mRowInterval = std::chrono::seconds(10);
   int64_t mRowLifeSeconds = 60;
+  // Interval at which guards get the addresses of all entries.
   duration mGuardStatusInterval = std::chrono::seconds(20);
-  size_t mMaxRequests = 20000;
+  size_t mMaxRequests = 20000; // open requests
+  // Maximum total size of the payloads of open requests.
   uint64_t mMaxRequestBytes = 24u << 20;
 };
 
+// Safeguards that tests switch off to show that each is needed.
 struct entry_safeguards
 {
   owner_safeguards mOwner;
   config_safeguards mConfig;
 };
 
-// The API layer, which knows the callers' connections.
+// The API layer, which holds the callers' connections.
 class caller_port
 {
 public:
   virtual ~caller_port() = default;
   virtual void Reply(caller_id aCaller, const wire::job_reply_msg& aReply) = 0;
+  // Reports the outcome of a change that was passed to entry_node::Change.
   virtual void ChangeDone(const change_outcome& aOutcome) = 0;
 };
 
-// Configuration version and role of one process, for status.
+// Status of one process, for operators.
 struct process_status
 {
   process_role mRole = process_role::Entry;
   std::string mName;
   uint64_t mIncarnation = 0;
   std::string mDataCenter;
-  uint64_t mConfigVersion = 0;
+  uint64_t mConfigVersion = 0; // in force there; 0: none or not known
   bool mDraining = false;
+  // Of guards only.
   uint32_t mShard = 0;
   uint32_t mSlots = 0;
   uint32_t mRunning = 0;
@@ -114,18 +124,21 @@
              instant aNow,
              entry_safeguards aSafeguards = {});
 
+  // A peer has connected and authenticated. An earlier connection of a process
+  // with the same name and role is closed.
   void OnPeerUp(peer_id aPeer, const peer_identity& aIdentity, instant aNow);
   void OnPeerDown(peer_id aPeer, instant aNow);
   void OnMessage(peer_id aPeer, const message& aMessage, instant aNow);
   void OnTableReply(const table_reply& aReply, instant aNow);
-  // aWallSeconds: time of day, for rows that other processes read.
+  // aWallSeconds: time of day in seconds since the epoch, for rows that other
+  // processes read.
   void Tick(instant aNow, int64_t aWallSeconds);
 
-  // The job identity that a submission by aTeam under aKey gets.
+  // The job identity of a submission of aTeam with idempotency key aKey.
   job_id IdentityOf(const std::string& aTeam, const std::string& aKey) const;
 
-  // Each is answered exactly once through caller_port, at the latest when
-  // aWait is over: then with the state "running".
+  // Each of these requests gets exactly one reply through caller_port. If the
+  // job has not ended after aWait, the reply has the state "running".
   void Submit(caller_id aCaller,
               submission aSubmission,
               duration aWait,
@@ -140,128 +153,146 @@
               const job_id& aId,
               duration aWait,
               instant aNow);
-  // The caller's connection closed: nobody waits for its answer.
+  // The caller's connection is closed, so its reply is discarded.
   void OnCallerDisconnected(caller_id aCaller);
-  // Throws failure when it cannot be queued.
+  // Queues a change of the configuration; caller_port::ChangeDone reports its
+  // outcome. Throws failure if it cannot be queued.
   void Change(const config_change& aChange, instant aNow);
 
-  // A planned stop: nothing new is admitted, shards go to a successor, and
-  // every waiting caller still gets its answer.
+  // Starts a drain: new requests are refused, shards are handed over to a
+  // successor, and open requests are still answered.
   void BeginDrain(instant aNow);
   bool IsDraining() const { return mDraining; }
   bool IsDrained() const;
-  // Ends a planned stop that took too long: every waiting caller is told what
-  // is known.
+  // Ends a drain that took too long: every open request is answered with what
+  // is known of its job.
   void AbortDrain(instant aNow);
 
   const config_agent& Config() const { return mConfig; }
   std::vector<process_status> Processes(instant aNow) const;
   std::vector<shard_owner::worker_status> Workers(instant aNow) const;
-  // Sums over the shards owned now and before.
+  // Sums over the shards that this process owns or has owned.
   owner_counters Counters() const;
   struct shard_status
   {
     uint32_t mShard = 0;
-    std::string mOwner; // empty: none known
-    uint64_t mEpoch = 0;
-    bool mLocal = false;
-    bool mComplete = false;
-    uint32_t mQueued = 0;
-    uint32_t mUndecided = 0;
-    uint32_t mWorkers = 0;
+    std::string mOwner;      // name of the entry; empty: none is known
+    uint64_t mEpoch = 0;     // of the owner
+    bool mLocal = false;     // owned by this process
+    bool mComplete = false;  // the records of all workers are known; if local
+    uint32_t mQueued = 0;    // tasks; if local
+    uint32_t mUndecided = 0; // jobs that have not ended; if local
+    uint32_t mWorkers = 0;   // workers with a lease
   };
   std::vector<shard_status> Shards(instant aNow) const;
   size_t OpenRequests() const { return mRequests.size(); }
+  // Total size of the payloads of open requests.
   uint64_t RequestBytes() const { return mRequestBytes; }
+  // How often a request was forwarded to another entry since the start.
   uint64_t ForwardedRequests() const { return mForwarded; }
+  // Whether the entry has a configuration and does not drain.
   bool IsReady() const { return mConfig.Loaded() && !mDraining; }
 
-  // answer_sink and config_listener, for the parts of this node.
+  // Implementations of answer_sink and config_listener.
   void Answer(uint64_t aToken, wire::job_reply_msg aReply) override;
   void OnConfigInForce(const deployment_config& aConfig) override;
   void OnChangeDone(const change_outcome& aOutcome) override;
 
 private:
+  // A connected peer.
   struct peer_row
   {
     peer_identity mIdentity;
-    instant mLastHeard{};
-    // Entries.
+    instant mLastHeard{}; // time of its last message
+    // The last status of an entry; valid if mStatusKnown.
     wire::peer_status_msg mStatus;
     bool mStatusKnown = false;
-    // Guards.
+    // The last state of a guard; valid if mWorkerKnown.
     wire::worker_state_msg mWorker;
     bool mWorkerKnown = false;
-    uint64_t mPushedVersion = 0;
+    uint64_t mPushedVersion = 0; // of the last document sent to it; 0: none
   };
 
   struct shard_row
   {
-    std::unique_ptr<shard_owner> mOwner;
-    std::vector<known_worker> mSeen; // by this process
-    // What the workers that it saw could do, and when they last said so.
+    std::unique_ptr<shard_owner> mOwner; // null if another entry is the owner
+    // Workers that were connected to this process.
+    std::vector<known_worker> mSeen;
+    // Traits of these workers by name, each with the time of their last report.
     std::map<std::string, std::pair<worker_traits, instant>> mTraits;
-    std::vector<known_worker> mRoster; // read from the table
+    std::vector<known_worker> mRoster; // as last read from the table
+    // Writes of the roster by the owner: the open request to the table (0:
+    // none), the roster version that it writes, and the one last written.
     uint64_t mStoreRequest = 0;
     uint64_t mStoringVersion = 0;
     uint64_t mStoredVersion = 0;
     instant mNextStore{};
-    uint64_t mEpochSeen = 0;
-    owner_counters mPast; // of owners that stepped down
+    uint64_t mEpochSeen = 0; // greatest epoch known of any owner
+    owner_counters mPast;    // sums of the owners here that stepped down
   };
 
   enum class request_state : uint8_t
   {
-    Pending,  // no owner is known
-    Local,    // with a shard owned here
-    Forwarded // with another entry
+    Pending,  // no owner of the shard is known
+    Local,    // held by a shard_owner of this process
+    Forwarded // sent to another entry
   };
 
   struct request_row
   {
-    caller_id mCaller = 0; // 0: nobody waits here
+    caller_id mCaller = 0; // 0: no caller waits for the reply
     request_kind mKind = request_kind::Submit;
     request_state mState = request_state::Pending;
     std::string mTeam;
     job_id mId;
+    // Of Submit only. A shard_owner of this process holds it while the request
+    // is Local.
     submission mSubmission;
-    uint64_t mBytes = 0;
+    uint64_t mBytes = 0; // size of the payloads
     instant mCreated{};
-    instant mUntil{};
-    instant mPendingSince{};
-    peer_id mOwner = 0;
-    bool mEverSent = false;
+    instant mUntil{};        // the reply is due
+    instant mPendingSince{}; // when mState last became Pending
+    peer_id mOwner = 0;      // entry to which it was forwarded; 0: none
+    bool mEverSent = false;  // some owner may have received it
   };
 
-  // A request that another entry passed on to this one.
+  // A request that another entry forwarded to this one.
   struct served_row
   {
-    peer_id mPeer = 0;
-    uint64_t mRequest = 0;
+    peer_id mPeer = 0;     // the other entry
+    uint64_t mRequest = 0; // its number of the request
   };
 
   uint32_t ShardCount() const { return mConfig.InForce().mShardCount; }
   shard_row& Shard(uint32_t aShard);
+  // Whether aRow is an entry that has sent a status and has not timed out.
   bool IsLiveEntry(const peer_row& aRow, instant aNow) const;
-  // The live entry that says it owns aShard; 0 when there is none.
+  // The live other entry that reports itself as the owner of aShard; 0 if there
+  // is none.
   peer_id OwnerPeer(uint32_t aShard, instant aNow) const;
 
+  // Adds a request about an existing job: Watch or Cancel.
   void Follow(request_kind aKind,
               caller_id aCaller,
               const std::string& aTeam,
               const job_id& aId,
               duration aWait,
               instant aNow);
+  // Admits and routes a request, or refuses it.
   void AddRequest(request_row aRow, instant aNow);
+  // Passes a request to the owner of its shard, if one is known.
   void Route(uint64_t aToken, instant aNow);
   void RouteLocally(uint64_t aToken, request_row& aRow, instant aNow);
   void Forward(uint64_t aToken,
                request_row& aRow,
                peer_id aOwner,
                instant aNow);
+  // Routes all pending requests; those that have waited too long fail.
   void RoutePending(instant aNow);
   void FinishRequest(uint64_t aToken, const wire::job_reply_msg& aReply);
   void FailRequest(uint64_t aToken, const std::string& aText);
+  // Returns requests that were forwarded to a lost peer to Pending, and drops
+  // those that it had forwarded to this process.
   void ForgetOwner(peer_id aPeer, instant aNow);
 
   void OnJobRequest(peer_id aPeer,
@@ -275,24 +306,45 @@
                      const wire::worker_state_msg& aState,
                      instant aNow);
   void OnHandover(const wire::handover_msg& aPart, instant aNow);
+  // The local owner of the shard of guard aPeer; null if there is none.
   shard_owner* OwnerFor(peer_id aPeer);
 
+  // Claims shards without an owner, and gives up those that another entry owns.
   void RunElections(instant aNow);
+  // Whether no other live entry that is ready has a greater rendezvous weight
+  // for aShard.
   bool IsCandidate(uint32_t aShard, instant aNow) const;
+  // Becomes the owner of aShard.
   void Claim(uint32_t aShard, uint64_t aEpoch, instant aNow);
+  // If another entry also owns aShard, the one with fewer leased workers steps
+  // down; with equal numbers, the one with the lower epoch, then weight.
   void ResolveConflict(uint32_t aShard, instant aNow);
+  // Gives up ownership of aShard and routes its open requests again.
+  // aSuccessor: the entry that the jobs are handed over to; 0: none.
   void StepDown(uint32_t aShard, peer_id aSuccessor, instant aNow);
+  // The live and ready entry that is to own aShard after this one; 0 if there
+  // is none.
   peer_id Successor(uint32_t aShard, instant aNow) const;
+  // Workers of aShard that may still hold records.
   std::vector<known_worker> Known(uint32_t aShard, instant aNow) const;
   void NoteSeen(const peer_identity& aIdentity, instant aNow);
 
+  // Sends the shards owned here to the other entries and, less often, the
+  // addresses of entries to the guards.
   void SendStatus(instant aNow);
+  // Sends the document in force unless the peer has it already.
   void PushConfig(peer_id aPeer);
+  // Closes links to entries that have timed out, and connects to entries
+  // without a link.
   void CheckEntryLinks(instant aNow);
+  // Renews the row of this entry, or deletes it during a drain. Also reads the
+  // rows of entries and rosters.
   void RenewRow(instant aNow);
+  // Writes changed rosters of the shards owned here.
   void StoreRosters(instant aNow);
   void OnEntryRows(const table_reply& aReply, instant aNow);
   void OnRosters(const table_reply& aReply, instant aNow);
+  // The addresses of all known entries, this one first.
   std::vector<std::string> EntryAddresses() const;
 
   entry_options mOptions;
@@ -303,13 +355,14 @@
   random_source& mRandom;
   entry_safeguards mSafeguards;
   config_agent mConfig;
-  instant mStarted;
-  instant mNow; // of the latest call
-  int64_t mWallSeconds = 0;
+  instant mStarted;         // when the process started
+  instant mNow;             // of the latest call
+  int64_t mWallSeconds = 0; // of the latest Tick
 
   std::map<peer_id, peer_row> mPeers;
   std::map<std::string, std::string> mEntryAddresses; // by name
   std::map<uint32_t, shard_row> mShards;
+  // By token.
   std::unordered_map<uint64_t, request_row> mRequests;
   std::unordered_map<uint64_t, served_row> mServed;
   std::unordered_map<caller_id, uint64_t> mTokenByCaller;
@@ -324,14 +377,15 @@
   instant mNextDial{};
   instant mNextEntriesRead{};
   instant mNextRoute{};
-  // Some request has no owner: look for one soon, else only now and then.
+  // Some request is pending, so requests are routed at the shorter interval.
   bool mSomePending = false;
+  // Open requests to the table; 0 if there is none.
   uint64_t mRowRequest = 0;
   uint64_t mEntriesRequest = 0;
   uint64_t mRostersRequest = 0;
-  bool mRostersTried = false;
-  bool mRostersRead = false;
-  bool mTableDown = false;
+  bool mRostersTried = false; // a read was answered, if only by an error
+  bool mRostersRead = false;  // a read has succeeded
+  bool mTableDown = false;    // the last reply was Unavailable
   bool mDraining = false;
 };
 
--- a/cactusmast/entry_requests.cc
+++ b/cactusmast/entry_requests.cc
@@ -1,4 +1,5 @@
-// Callers' requests at an entry, and how each finds the owner of its shard.
+// The request part of entry_node: callers' requests and their routing to the
+// owners of shards.
 
 #include "cactusmast/entry_node.h"
 
@@ -12,10 +13,12 @@
 
 using std::chrono::milliseconds;
 
-// A forwarded request's answer is due at its end; after this much more it is
-// given up.
+// A forwarded request fails if no reply has arrived this long after the reply
+// was due.
 constexpr std::chrono::seconds kForwardGrace{ 2 };
 
+// Whether the sender of aReply does not own the shard, so that the request has
+// to be routed again.
 bool
 IsRouteReply(const wire::job_reply_msg& aReply)
 {
@@ -23,6 +26,7 @@
          aReply.step == kRouteStep;
 }
 
+// The reply for which IsRouteReply is true.
 wire::job_reply_msg
 RouteReply()
 {
@@ -104,7 +108,8 @@
     mCallers.Reply(aRow.mCaller, ErrorReply(error));
   };
   if (mDraining) {
-    refuse(error_code::Draining, "this entry is stopping; ask another one");
+    refuse(error_code::Draining,
+           "this entry is draining; retry at another entry");
     return;
   }
   if (mRequests.size() >= mOptions.mMaxRequests ||
@@ -114,7 +119,7 @@
     return;
   }
   if (!mConfig.Loaded()) {
-    refuse(error_code::Unavailable, "no configuration is known yet");
+    refuse(error_code::Unavailable, "no configuration has been read yet");
     return;
   }
   uint64_t token = mNextToken++;
@@ -170,7 +175,7 @@
   waiter waiting{ aToken, aRow.mUntil };
   switch (aRow.mKind) {
     case request_kind::Submit:
-      // The owner holds the payloads from here on; StepDown gives them back.
+      // The owner holds the payloads from now on; StepDown returns them.
       owner.Submit(std::move(aRow.mSubmission), waiting, aNow);
       break;
     case request_kind::Watch: {
@@ -262,7 +267,7 @@
   auto found = mRequests.find(aReply.request_id);
   if (found == mRequests.end() ||
       found->second.mState != request_state::Forwarded) {
-    return; // answered already, through another owner
+    return; // already answered by another owner
   }
   if (IsRouteReply(aReply)) {
     found->second.mState = request_state::Pending;
@@ -340,10 +345,10 @@
     }
   }
   for (uint64_t token : overdue) {
-    FailRequest(token, "no entry owns the job's shard at present");
+    FailRequest(token, "no owner of the job's shard is known");
   }
   mSomePending = !pending.empty();
-  // Submissions first: a watch of the same job must find it.
+  // In order of arrival, because a watch must follow the submission of its job.
   std::sort(pending.begin(), pending.end());
   for (uint64_t token : pending) {
     Route(token, aNow);
