--- a/cactusmast/testing/profile_test.cc
+++ b/cactusmast/testing/profile_test.cc
@@ -1,6 +1,7 @@
-// Each field of a profile does what docs/OPERATIONS.md says of it. Deadlines,
-// idempotence, queue bounds, priority, shedding and accelerators are shown by
-// the scenarios, queue_test.cc and scripts/tests/api_examples.sh.
+// Tests that the fields of a profile have the effect that docs/OPERATIONS.md
+// describes. Deadlines, idempotence, queue limits, priority, shedding and
+// accelerators are covered by the scenarios, queue_test.cc and
+// scripts/tests/api_examples.sh.
 
 #include <doctest/doctest.h>
 
@@ -12,8 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Runs jobs of one task each, a millisecond apart, under aProfile, and
-// returns the world afterwards.
+// Returns a world in which aJobs jobs with one task each are scheduled for
+// submission, one per millisecond, under aProfile. The tasks run for aRun.
 std::unique_ptr<world>
 RunUnder(profile aProfile, uint32_t aJobs, milliseconds aRun)
 {
@@ -51,6 +52,7 @@
          aWorld.Entry(2)->Counters().mDispatchMessages;
 }
 
+// The number of dispatch messages for eight jobs under aPreference.
 uint64_t
 MessagesFor(cost_preference aPreference)
 {
@@ -65,7 +67,8 @@
   return DispatchMessages(*run) - before;
 }
 
-// Tasks that run 300 ms after eight were submitted, each lasting a second.
+// The number of tasks that run 300 ms after the submission of eight tasks that
+// run for a second each.
 uint32_t
 RunningUnder(const profile& aProfile)
 {
@@ -76,7 +79,7 @@
 
 } // namespace
 
-TEST_CASE("preference: fewer messages where they count more")
+TEST_CASE("preference messages batches tasks in fewer dispatch messages")
 {
   uint64_t prompt = MessagesFor(cost_preference::ResponseTime);
   uint64_t thrifty = MessagesFor(cost_preference::Messages);
@@ -84,7 +87,7 @@
   CHECK(thrifty <= 4);
 }
 
-TEST_CASE("worker_concurrency and concurrency bound what runs at once")
+TEST_CASE("worker_concurrency and concurrency limit the tasks that run at once")
 {
   profile free;
   CHECK(RunningUnder(free) == 8);
@@ -96,7 +99,7 @@
   CHECK(RunningUnder(perShard) == 2);
 }
 
-TEST_CASE("task_timeout_ms ends a task on the backend server")
+TEST_CASE("a task that runs longer than task_timeout_ms is cancelled")
 {
   profile hasty;
   hasty.mTaskTimeoutMs = 200;
@@ -105,7 +108,7 @@
   CHECK(run->Answers("job-0") == std::vector<std::string>{ "failed" });
 }
 
-TEST_CASE("cpus, memory_mb and accelerators must be there")
+TEST_CASE("a worker with too few cpus, memory_mb or accelerators does not fit")
 {
   worker_traits traits;
   traits.mServices = { "ordering" };
--- a/cactusmast/testing/scenario.cc
+++ b/cactusmast/testing/scenario.cc
@@ -11,6 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+// Parses a time with a unit, such as "1.5s".
 duration
 ReadTime(const YAML::Node& aNode)
 {
@@ -23,7 +24,7 @@
   };
   auto found = kUnits.find(name);
   if (found == kUnits.end()) {
-    throw std::runtime_error("not a time: " + text);
+    throw std::runtime_error("not a time with a unit: " + text);
   }
   return duration(int64_t(number * found->second));
 }
@@ -87,8 +88,8 @@
   }
 
 private:
-  // "owner" and "other" name the entry that owns shard 0 now, and the first
-  // that does not.
+  // Returns the name of a process. "owner" stands for the entry that owns shard
+  // 0 at present, "other" for the first entry that does not.
   std::string Resolve(const std::string& aName)
   {
     if (aName != "owner" && aName != "other") {
@@ -97,7 +98,7 @@
     std::string owner = OwnerOf(*mWorld, mOptions.mEntries, 0);
     if (aName == "owner") {
       if (owner.empty()) {
-        throw std::runtime_error("no entry owns the shard at that time");
+        throw std::runtime_error("no entry owns shard 0 at this time");
       }
       mLastOwner = owner;
       return owner;
@@ -120,6 +121,7 @@
     return uint32_t(std::stoul(name));
   }
 
+  // Executes one step.
   void Do(const YAML::Node& aStep, const std::string& aSuffix)
   {
     auto what = aStep["do"].as<std::string>();
@@ -183,6 +185,7 @@
       EntryNumber(aStep), changed, Get<uint64_t>(aStep, "revision", 1));
   }
 
+  // Executes a step that changes a link between two processes.
   void Link(const std::string& aWhat, const YAML::Node& aStep)
   {
     std::string from = Resolve(aStep["from"].as<std::string>());
@@ -208,6 +211,7 @@
     }
   }
 
+  // Executes a step on the backend server of a guard.
   void Backend(const std::string& aWhat, const YAML::Node& aStep)
   {
     auto guard = aStep["guard"].as<uint32_t>();
@@ -227,6 +231,7 @@
     }
   }
 
+  // Executes a step on a process.
   void Process(const std::string& aWhat, const YAML::Node& aStep)
   {
     std::string name = Get<bool>(aStep, "last_owner", false)
@@ -247,6 +252,7 @@
 
   void Fail(const std::string& aText) { mFailures.push_back(aText); }
 
+  // Checks one expectation.
   void Expect(const YAML::Node& aWanted)
   {
     if (aWanted["key"]) {
@@ -274,7 +280,7 @@
       uint64_t least = Get<uint64_t>(aWanted, "at_least", 0);
       uint64_t starts = mWorld->StartsAt(guard);
       if (starts > most || starts < least) {
-        Fail("backend " + std::to_string(guard) + " started " +
+        Fail("tasks started by backend " + std::to_string(guard) + ": " +
              std::to_string(starts));
       }
     }
@@ -301,14 +307,14 @@
     }
     uint32_t starts = mWorld->Starts(aKey);
     if (aWanted["starts"] && starts != aWanted["starts"].as<uint32_t>()) {
-      Fail(aKey + " started " + std::to_string(starts));
+      Fail(aKey + ": tasks started: " + std::to_string(starts));
     }
     if (aWanted["within"]) {
       ExpectWithin(aKey, ReadTime(aWanted["within"]));
     }
   }
 
-  // The time from the first request to the last reply.
+  // Checks the time from the first submission to the last reply.
   void ExpectWithin(const std::string& aKey, duration aLimit)
   {
     event_time first{};
@@ -337,7 +343,7 @@
       actual.push_back(change.mAccepted ? "accepted"
                                         : std::string(Name(change.mError)));
     }
-    // The changes that set the world up come first.
+    // The first changes are those by PrepareWorld.
     actual.erase(actual.begin(),
                  actual.begin() + long(ScenarioProfiles().size()));
     if (actual != aWanted) {
--- a/cactusmast/testing/scenario.h
+++ b/cactusmast/testing/scenario.h
@@ -1,5 +1,6 @@
-// Scenarios: who does what at which virtual time, and what must hold
-// afterwards, read from YAML. docs/TESTING.md describes the language.
+// Runs scenarios, which are read from YAML files. A scenario lists steps
+// (faults and requests) at virtual times, and what must hold after the last
+// one. docs/TESTING.md describes the format.
 
 #ifndef CACTUSMAST_TESTING_SCENARIO_H_
 #define CACTUSMAST_TESTING_SCENARIO_H_
@@ -11,6 +12,7 @@
 
 namespace cactusmast::testing {
 
+// The safeguards of all processes, of which a test may switch off some.
 struct scenario_safeguards
 {
   entry_safeguards mEntry;
@@ -18,23 +20,23 @@
   health_options mHealth;
 };
 
-// Runs the scenario in aPath. Returns what did not hold: broken promises and
-// unmet expectations; empty when all is well. Throws std::runtime_error when
-// the file is not a scenario.
+// Runs the scenario in file aPath. Returns one text for each broken promise and
+// each unmet expectation; empty if the scenario passes. Throws
+// std::runtime_error if the file is not a valid scenario.
 std::vector<std::string>
 RunScenario(const std::string& aPath,
             const scenario_safeguards& aSafeguards = {});
 
-// The profiles that every scenario starts with.
+// The profiles that are in force at the start of every scenario.
 std::vector<profile>
 ScenarioProfiles();
 
-// A world with those profiles in force everywhere; the run's time zero is its
-// present.
+// Returns a world in which every process has these profiles. Its current time
+// is time zero of the scenario.
 std::unique_ptr<world>
 PrepareWorld(const world_options& aOptions);
 
-// The name of the entry that owns aShard: "entry-N", or empty.
+// The name of the entry that owns aShard, "entry-N"; empty if there is none.
 std::string
 OwnerOf(world& aWorld, uint32_t aEntries, uint32_t aShard);
 
--- a/cactusmast/testing/scenario_test.cc
+++ b/cactusmast/testing/scenario_test.cc
@@ -1,5 +1,5 @@
-// Runs every scenario file, and shows that each safeguard is needed: with it
-// switched off, the scenario that is named beside it must fail.
+// Runs every scenario file. Also shows that each safeguard is needed: if it is
+// switched off, the scenario that is listed with it must fail.
 
 #include <algorithm>
 #include <doctest/doctest.h>
@@ -36,7 +36,7 @@
 {
   using s = scenario_safeguards;
   static const std::vector<mutant> kMutants = {
-    { "guard drops links after a pause",
+    { "guard closes links after a pause",
       "guard_paused_past_deadline",
       [](s& aSet) { aSet.mGuard.mDropLinksAfterPause = false; } },
     { "guard refuses older configurations",
@@ -51,25 +51,25 @@
     { "owner deduplicates jobs",
       "resubmitted",
       [](s& aSet) { aSet.mEntry.mOwner.mDeduplicateJobs = false; } },
-    { "owner settles before it sends again",
+    { "owner resolves dispatches in doubt before a retry",
       "lost_dispatch",
       [](s& aSet) { aSet.mEntry.mOwner.mSettleBeforeRetry = false; } },
     { "owner steps down when superseded",
       "owner_superseded_while_paused",
       [](s& aSet) { aSet.mEntry.mOwner.mStepDownWhenSuperseded = false; } },
-    { "decided jobs are told to guards",
+    { "owner records abandoned tasks at guards",
       "cancelled_then_owner_lost",
       [](s& aSet) { aSet.mEntry.mOwner.mRecordAbandoned = false; } },
-    { "changes compare the revision",
+    { "changes of an outdated revision are refused",
       "operators_race",
       [](s& aSet) { aSet.mEntry.mConfig.mCompareRevision = false; } },
-    { "changes read back after a lost reply",
+    { "changes are read back after a lost reply",
       "table_loses_replies",
       [](s& aSet) { aSet.mEntry.mConfig.mReadBack = false; } },
     { "entries refuse older configurations",
       "old_configuration_returns",
       [](s& aSet) { aSet.mEntry.mConfig.mMonotonicVersion = false; } },
-    { "failing workers are set aside",
+    { "failing workers are quarantined",
       "failing_worker",
       [](s& aSet) { aSet.mHealth.mEnabled = false; } },
   };
@@ -88,7 +88,7 @@
 
 } // namespace
 
-TEST_CASE("every scenario holds")
+TEST_CASE("every scenario passes")
 {
   std::vector<std::string> files = ScenarioFiles();
   REQUIRE(files.size() >= 30);
@@ -98,7 +98,7 @@
   }
 }
 
-TEST_CASE("every safeguard is needed by the scenario beside it")
+TEST_CASE("every safeguard is needed: its scenario fails without it")
 {
   for (const mutant& one : Mutants()) {
     scenario_safeguards without;
@@ -106,7 +106,7 @@
     std::string file = std::string("scenarios/") + one.mScenario + ".yaml";
     CHECK_MESSAGE(!RunScenario(file, without).empty(),
                   file,
-                  " holds without: ",
+                  " passes without: ",
                   std::string(one.mName));
   }
 }
