--- a/cactusmast/api_json.cc
+++ b/cactusmast/api_json.cc
@@ -9,7 +9,7 @@
 using nlohmann::json;
 
 failure
-BadBody(const std::string& aText)
+SubmissionError(const std::string& aText)
 {
   return failure(error_code::BadRequest, "read submission", "caller", aText);
 }
@@ -65,7 +65,7 @@
 {
   for (const auto& [key, value] : aObject.items()) {
     if (key != "profile" && key != "deadline_ms" && key != "tasks") {
-      throw BadBody("unknown key " + key);
+      throw SubmissionError("unknown key " + key);
     }
   }
 }
@@ -79,46 +79,48 @@
   {
     constexpr int kMaxDepth = 32;
     if (aDepth > kMaxDepth) {
-      throw BadBody("nested too deeply");
+      throw SubmissionError("nested too deeply");
     }
     if (aEvent == json::parse_event_t::key && aDepth == 1) {
       auto key = aParsed.get<std::string>();
-      if (std::find(mSeen.begin(), mSeen.end(), key) != mSeen.end()) {
-        throw BadBody("key " + key + " is duplicated");
+      if (std::find(mSeenKeys.begin(), mSeenKeys.end(), key) !=
+          mSeenKeys.end()) {
+        throw SubmissionError("key " + key + " is duplicated");
       }
-      mSeen.push_back(key);
+      mSeenKeys.push_back(key);
     }
     return true;
   }
 
 private:
-  std::vector<std::string> mSeen;
+  std::vector<std::string> mSeenKeys;
 };
 
 submission
 ReadSubmission(const json& aObject, const api_limits& aLimits)
 {
   if (!aObject.is_object()) {
-    throw BadBody("the body must be an object");
+    throw SubmissionError("the body must be an object");
   }
   RefuseUnknownKeys(aObject);
-  submission made;
+  submission parsed;
   if (!aObject.contains("profile") || !aObject["profile"].is_string()) {
-    throw BadBody("profile must be text");
+    throw SubmissionError("profile must be text");
   }
-  made.mProfile = aObject["profile"].get<std::string>();
+  parsed.mProfile = aObject["profile"].get<std::string>();
   if (aObject.contains("deadline_ms")) {
     const json& deadline = aObject["deadline_ms"];
     constexpr uint64_t kMaxDeadlineMs = 3600000;
     if (!deadline.is_number_unsigned() || deadline.get<uint64_t>() == 0 ||
         deadline.get<uint64_t>() > kMaxDeadlineMs) {
-      throw BadBody("deadline_ms must be a whole number from 1 to 3600000");
+      throw SubmissionError(
+        "deadline_ms must be a whole number from 1 to 3600000");
     }
-    made.mDeadline = std::chrono::milliseconds(deadline.get<uint64_t>());
+    parsed.mDeadline = std::chrono::milliseconds(deadline.get<uint64_t>());
   }
   if (!aObject.contains("tasks") || !aObject["tasks"].is_array() ||
       aObject["tasks"].empty()) {
-    throw BadBody("tasks must be an array with at least one task");
+    throw SubmissionError("tasks must be an array with at least one task");
   }
   if (aObject["tasks"].size() > aLimits.mMaxTasks) {
     throw failure(error_code::TooLarge,
@@ -137,9 +139,9 @@
                     "a task may have at most " +
                       std::to_string(aLimits.mMaxPayload) + " bytes");
     }
-    made.mPayloads.push_back(std::move(payload));
+    parsed.mPayloads.push_back(std::move(payload));
   }
-  return made;
+  return parsed;
 }
 
 } // namespace
@@ -159,15 +161,15 @@
   } catch (const failure& error) {
     return error;
   } catch (const json::exception& error) {
-    return BadBody(error.what());
+    return SubmissionError(error.what());
   }
 }
 
 result<std::string>
 CheckKey(std::string_view aKey, const api_limits& aLimits)
 {
-  bool printable = std::all_of(aKey.begin(), aKey.end(), [](char aOne) {
-    return aOne > 32 && aOne < 127;
+  bool printable = std::all_of(aKey.begin(), aKey.end(), [](char aChar) {
+    return aChar > 32 && aChar < 127;
   });
   if (aKey.empty() || aKey.size() > aLimits.mMaxKey || !printable) {
     return failure(error_code::BadRequest,
@@ -290,8 +292,8 @@
 RenderProfiles(const deployment_config& aConfig)
 {
   json profiles = json::array();
-  for (const auto& [name, entry] : aConfig.mProfiles) {
-    profiles.push_back(json::parse(SerializeProfile(entry)));
+  for (const auto& [name, value] : aConfig.mProfiles) {
+    profiles.push_back(json::parse(SerializeProfile(value)));
   }
   return Dump({ { "version", aConfig.mVersion }, { "profiles", profiles } });
 }
@@ -300,8 +302,8 @@
 RenderTeams(const deployment_config& aConfig)
 {
   json teams = json::array();
-  for (const auto& [name, entry] : aConfig.mTeams) {
-    teams.push_back(json::parse(SerializeTeam(entry)));
+  for (const auto& [name, value] : aConfig.mTeams) {
+    teams.push_back(json::parse(SerializeTeam(value)));
   }
   return Dump({ { "version", aConfig.mVersion }, { "teams", teams } });
 }
@@ -328,9 +330,9 @@
   json rows = json::array();
   for (const table_row& row : aRows) {
     json change = json::parse(row.mValue, nullptr, false);
-    bool wanted = change.is_object() &&
-                  (aName.empty() || change.value("name", "") == aName);
-    if (wanted) {
+    bool included = change.is_object() &&
+                    (aName.empty() || change.value("name", "") == aName);
+    if (included) {
       rows.push_back(std::move(change));
     }
   }
--- a/cactusmast/profile.cc
+++ b/cactusmast/profile.cc
@@ -9,9 +9,9 @@
 using nlohmann::json;
 
 constexpr std::array<std::string_view, size_t(cost_preference::Count)>
-  kPreferences = { "response_time", "messages" };
+  kPreferenceNames = { "response_time", "messages" };
 constexpr std::array<std::string_view, size_t(shedding_order::Count)>
-  kSheddingOrders = { "newest", "lowest_priority" };
+  kSheddingNames = { "newest", "lowest_priority" };
 
 struct number_field
 {
@@ -23,7 +23,7 @@
 
 constexpr uint32_t kMillion = 1000000;
 
-constexpr std::array<number_field, 11> kNumbers = { {
+constexpr std::array<number_field, 11> kNumberFields = { {
   { "deadline_ms", &profile::mDeadlineMs, 10, 3600000 },
   { "task_timeout_ms", &profile::mTaskTimeoutMs, 10, 3600000 },
   { "retry_limit", &profile::mRetryLimit, 0, 10 },
@@ -38,7 +38,7 @@
 } };
 
 failure
-Bad(const std::string& aText)
+InputError(const std::string& aText)
 {
   return failure(error_code::BadRequest, "read profile", "operator", aText);
 }
@@ -75,11 +75,11 @@
   std::string range = std::string(aKey) + " must be a whole number from " +
                       std::to_string(aMin) + " to " + std::to_string(aMax);
   if (!aValue.is_number_unsigned()) {
-    throw Bad(range);
+    throw InputError(range);
   }
   uint64_t value = aValue.get<uint64_t>();
   if (value < aMin || value > aMax) {
-    throw Bad(range);
+    throw InputError(range);
   }
   return uint32_t(value);
 }
@@ -89,18 +89,18 @@
 {
   constexpr size_t kMaxName = 64;
   if (!aValue.is_string()) {
-    throw Bad(std::string(aKey) + " must be text");
+    throw InputError(std::string(aKey) + " must be text");
   }
   auto text = aValue.get<std::string>();
   if (text.empty() || text.size() > kMaxName) {
-    throw Bad(std::string(aKey) + " must have 1 to 64 characters");
+    throw InputError(std::string(aKey) + " must have 1 to 64 characters");
   }
   for (char c : text) {
-    bool plain = (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') ||
-                 (c >= 'A' && c <= 'Z') || c == '-' || c == '_' || c == '.';
-    if (!plain) {
-      throw Bad(std::string(aKey) +
-                " may hold letters, digits, '-', '_' and '.' only");
+    bool allowed = (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') ||
+                   (c >= 'A' && c <= 'Z') || c == '-' || c == '_' || c == '.';
+    if (!allowed) {
+      throw InputError(std::string(aKey) +
+                       " may hold letters, digits, '-', '_' and '.' only");
     }
   }
   return text;
@@ -115,7 +115,7 @@
   int index =
     aValue.is_string() ? IndexOf(aNames, aValue.get<std::string>()) : -1;
   if (index < 0) {
-    throw Bad(std::string(aKey) + " must be one of " + Join(aNames));
+    throw InputError(std::string(aKey) + " must be one of " + Join(aNames));
   }
   return uint8_t(index);
 }
@@ -124,7 +124,7 @@
 ReadFlag(const json& aValue, std::string_view aKey)
 {
   if (!aValue.is_boolean()) {
-    throw Bad(std::string(aKey) + " must be true or false");
+    throw InputError(std::string(aKey) + " must be true or false");
   }
   return aValue.get<bool>();
 }
@@ -133,7 +133,7 @@
 bool
 ReadProfileKey(const std::string& aKey, const json& aValue, profile* aOut)
 {
-  for (const number_field& field : kNumbers) {
+  for (const number_field& field : kNumberFields) {
     if (field.mKey == aKey) {
       aOut->*field.mMember = ReadNumber(aValue, aKey, field.mMin, field.mMax);
       return true;
@@ -148,9 +148,10 @@
   } else if (aKey == "retired") {
     aOut->mRetired = ReadFlag(aValue, aKey);
   } else if (aKey == "preference") {
-    aOut->mPreference = cost_preference(ReadChoice(aValue, aKey, kPreferences));
+    aOut->mPreference =
+      cost_preference(ReadChoice(aValue, aKey, kPreferenceNames));
   } else if (aKey == "shedding") {
-    aOut->mShedding = shedding_order(ReadChoice(aValue, aKey, kSheddingOrders));
+    aOut->mShedding = shedding_order(ReadChoice(aValue, aKey, kSheddingNames));
   } else if (aKey == "revision") {
     aOut->mRevision = aValue.get<uint64_t>();
   } else {
@@ -167,11 +168,11 @@
     { "service", aProfile.mService },
     { "idempotent", aProfile.mIdempotent },
     { "retired", aProfile.mRetired },
-    { "preference", kPreferences[size_t(aProfile.mPreference)] },
-    { "shedding", kSheddingOrders[size_t(aProfile.mShedding)] },
+    { "preference", kPreferenceNames[size_t(aProfile.mPreference)] },
+    { "shedding", kSheddingNames[size_t(aProfile.mShedding)] },
     { "revision", aProfile.mRevision },
   };
-  for (const number_field& field : kNumbers) {
+  for (const number_field& field : kNumberFields) {
     object[std::string(field.mKey)] = aProfile.*field.mMember;
   }
   return object;
@@ -209,15 +210,15 @@
 ReadObject(const json& aObject, Reader aReader, bool aStrict)
 {
   if (!aObject.is_object()) {
-    throw Bad("must be an object");
+    throw InputError("must be an object");
   }
-  T made;
+  T parsed;
   for (const auto& [key, value] : aObject.items()) {
-    if (!aReader(key, value, &made) && aStrict) {
-      throw Bad("unknown key " + key);
+    if (!aReader(key, value, &parsed) && aStrict) {
+      throw InputError("unknown key " + key);
     }
   }
-  return made;
+  return parsed;
 }
 
 template<typename T, typename Reader>
@@ -234,7 +235,7 @@
       }
       for (const std::string& key : seen) {
         if (key == aParsed) {
-          throw Bad("key " + key + " is duplicated");
+          throw InputError("key " + key + " is duplicated");
         }
       }
       seen.push_back(aParsed.get<std::string>());
@@ -242,15 +243,15 @@
     };
   try {
     json object = json::parse(aJson, refuseDuplicates);
-    T made = ReadObject<T>(object, aReader, true);
-    if (made.mName.empty()) {
-      return Bad("name is missing");
+    T parsed = ReadObject<T>(object, aReader, true);
+    if (parsed.mName.empty()) {
+      return InputError("name is missing");
     }
-    return made;
+    return parsed;
   } catch (const failure& error) {
     return error;
   } catch (const json::exception& error) {
-    return Bad(error.what());
+    return InputError(error.what());
   }
 }
 
@@ -259,13 +260,13 @@
 std::string_view
 Name(cost_preference aPreference)
 {
-  return kPreferences[size_t(aPreference) % kPreferences.size()];
+  return kPreferenceNames[size_t(aPreference) % kPreferenceNames.size()];
 }
 
 std::string_view
 Name(shedding_order aOrder)
 {
-  return kSheddingOrders[size_t(aOrder) % kSheddingOrders.size()];
+  return kSheddingNames[size_t(aOrder) % kSheddingNames.size()];
 }
 
 result<profile>
@@ -273,7 +274,7 @@
 {
   result<profile> parsed = ParseStrict<profile>(aJson, ReadProfileKey);
   if (parsed.Ok() && parsed.Value().mService.empty()) {
-    return Bad("service is missing");
+    return InputError("service is missing");
   }
   return parsed;
 }
@@ -299,30 +300,30 @@
 result<deployment_config>
 deployment_config::Parse(std::string_view aText)
 {
-  deployment_config made;
+  deployment_config config;
   try {
     json object = json::parse(aText);
-    made.mVersion = object.at("version").get<uint64_t>();
-    made.mShardCount = object.value("shard_count", 1u);
-    for (const json& entry : object.value("profiles", json::array())) {
-      auto parsed = ReadObject<profile>(entry, ReadProfileKey, false);
-      made.mProfiles[parsed.mName] = parsed;
+    config.mVersion = object.at("version").get<uint64_t>();
+    config.mShardCount = object.value("shard_count", 1u);
+    for (const json& item : object.value("profiles", json::array())) {
+      auto parsed = ReadObject<profile>(item, ReadProfileKey, false);
+      config.mProfiles[parsed.mName] = parsed;
     }
-    for (const json& entry : object.value("teams", json::array())) {
-      auto parsed = ReadObject<team>(entry, ReadTeamKey, false);
-      made.mTeams[parsed.mName] = parsed;
+    for (const json& item : object.value("teams", json::array())) {
+      auto parsed = ReadObject<team>(item, ReadTeamKey, false);
+      config.mTeams[parsed.mName] = parsed;
     }
   } catch (const std::exception& error) {
     return failure(
       error_code::Internal, "read configuration", "table", error.what());
   }
-  if (made.mShardCount == 0) {
+  if (config.mShardCount == 0) {
     return failure(error_code::Internal,
                    "read configuration",
                    "table",
                    "shard_count must be at least 1");
   }
-  return made;
+  return config;
 }
 
 std::string
@@ -332,11 +333,11 @@
                   { "shard_count", mShardCount },
                   { "profiles", json::array() },
                   { "teams", json::array() } };
-  for (const auto& [name, entry] : mProfiles) {
-    object["profiles"].push_back(ToJson(entry));
+  for (const auto& [name, item] : mProfiles) {
+    object["profiles"].push_back(ToJson(item));
   }
-  for (const auto& [name, entry] : mTeams) {
-    object["teams"].push_back(ToJson(entry));
+  for (const auto& [name, item] : mTeams) {
+    object["teams"].push_back(ToJson(item));
   }
   return object.dump();
 }
--- a/cactusmast/settings_reader.h
+++ b/cactusmast/settings_reader.h
@@ -30,13 +30,13 @@
     , mFile(std::move(aFile))
   {
     if (!mNode.IsMap()) {
-      throw Bad(mNode, "", "the settings must be a mapping");
+      throw ErrorAt(mNode, "", "the settings must be a mapping");
     }
-    std::set<std::string> seen;
-    for (const auto& entry : mNode) {
-      auto key = entry.first.as<std::string>();
-      if (!seen.insert(key).second) {
-        throw Bad(entry.first, key, "is duplicated");
+    std::set<std::string> keys;
+    for (const auto& item : mNode) {
+      auto key = item.first.as<std::string>();
+      if (!keys.insert(key).second) {
+        throw ErrorAt(item.first, key, "is duplicated");
       }
     }
   }
@@ -48,7 +48,7 @@
       return;
     }
     if (!value.IsScalar() || value.Scalar().empty()) {
-      throw Bad(value, aKey, "must be text");
+      throw ErrorAt(value, aKey, "must be text");
     }
     *aOut = value.Scalar();
   }
@@ -94,7 +94,7 @@
     int64_t number = 0;
     if (!value.IsScalar() || !YAML::convert<int64_t>::decode(value, number) ||
         number < int64_t(aMin) || number > int64_t(aMax)) {
-      throw Bad(value, aKey, range);
+      throw ErrorAt(value, aKey, range);
     }
     *aOut = uint32_t(number);
   }
@@ -107,26 +107,26 @@
       return;
     }
     if (!value.IsMap()) {
-      throw Bad(value, aKey, "must map names to tokens");
-    }
-    constexpr size_t kMinToken = 16;
-    for (const auto& entry : value) {
-      if (!entry.second.IsScalar() ||
-          entry.second.Scalar().size() < kMinToken) {
-        throw Bad(
-          entry.second, aKey, "tokens must have at least 16 characters");
+      throw ErrorAt(value, aKey, "must map names to tokens");
+    }
+    constexpr size_t kMinTokenLength = 16;
+    for (const auto& item : value) {
+      if (!item.second.IsScalar() ||
+          item.second.Scalar().size() < kMinTokenLength) {
+        throw ErrorAt(
+          item.second, aKey, "tokens must have at least 16 characters");
       }
-      (*aOut)[entry.first.as<std::string>()] = entry.second.Scalar();
+      (*aOut)[item.first.as<std::string>()] = item.second.Scalar();
     }
   }
 
   // Throws failure(BadRequest) for the first key that no method has read.
   void Finish() const
   {
-    for (const auto& entry : mNode) {
-      auto key = entry.first.as<std::string>();
-      if (mAsked.count(key) == 0) {
-        throw Bad(entry.first, key, "is not a known key");
+    for (const auto& item : mNode) {
+      auto key = item.first.as<std::string>();
+      if (mReadKeys.count(key) == 0) {
+        throw ErrorAt(item.first, key, "is not a known key");
       }
     }
   }
@@ -142,11 +142,11 @@
       return items;
     }
     if (!value.IsSequence()) {
-      throw Bad(value, aKey, aExpected);
+      throw ErrorAt(value, aKey, aExpected);
     }
     for (const YAML::Node& item : value) {
       if (!item.IsScalar()) {
-        throw Bad(item, aKey, aExpected);
+        throw ErrorAt(item, aKey, aExpected);
       }
       items.push_back(item);
     }
@@ -156,11 +156,11 @@
   // The value of aKey; an undefined node if it is absent and not required.
   YAML::Node Find(const std::string& aKey, bool aRequired)
   {
-    mAsked.insert(aKey);
-    const YAML::Node& fixed = mNode;
-    YAML::Node value = fixed[aKey];
+    mReadKeys.insert(aKey);
+    const YAML::Node& constNode = mNode;
+    YAML::Node value = constNode[aKey];
     if (!value.IsDefined() && aRequired) {
-      throw Bad(mNode, aKey, "is missing");
+      throw ErrorAt(mNode, aKey, "is missing");
     }
     return value.IsDefined() ? value : YAML::Node(YAML::NodeType::Undefined);
   }
@@ -170,23 +170,23 @@
                     const std::string& aText) const
   {
     size_t colon = aText.rfind(':');
-    bool good = colon != std::string::npos && colon > 0;
-    if (good) {
+    bool valid = colon != std::string::npos && colon > 0;
+    if (valid) {
       std::string port = aText.substr(colon + 1);
-      good = !port.empty() && port.size() <= 5 &&
-             port.find_first_not_of("0123456789") == std::string::npos &&
-             std::stoul(port) > 0 && std::stoul(port) <= 65535;
-      good = good && aText.find_first_not_of("0123456789.") == colon;
+      valid = !port.empty() && port.size() <= 5 &&
+              port.find_first_not_of("0123456789") == std::string::npos &&
+              std::stoul(port) > 0 && std::stoul(port) <= 65535;
+      valid = valid && aText.find_first_not_of("0123456789.") == colon;
     }
-    if (!good) {
-      throw Bad(
+    if (!valid) {
+      throw ErrorAt(
         aNode, aKey, "must be an IP address and a port, such as 127.0.0.1:80");
     }
   }
 
-  failure Bad(const YAML::Node& aNode,
-              const std::string& aKey,
-              const std::string& aText) const
+  failure ErrorAt(const YAML::Node& aNode,
+                  const std::string& aKey,
+                  const std::string& aText) const
   {
     int line = aNode.Mark().line + 1;
     std::string key = aKey.empty() ? "" : aKey + " ";
@@ -198,7 +198,7 @@
 
   YAML::Node mNode;
   std::string mFile;
-  std::set<std::string> mAsked;
+  std::set<std::string> mReadKeys;
 };
 
 // Parses aText as YAML; throws failure(BadRequest) with file and line.
@@ -239,10 +239,10 @@
 {
   return CatchErrors<T>(aFile, [&] {
     settings_reader reader(Load(aText, aFile), aFile);
-    T made;
-    aRead(reader, &made);
+    T settings;
+    aRead(reader, &settings);
     reader.Finish();
-    return made;
+    return settings;
   });
 }
 
--- a/cactusmast/testing/settings_test.cc
+++ b/cactusmast/testing/settings_test.cc
@@ -11,7 +11,7 @@
 namespace cactusmast::testing {
 namespace {
 
-const std::string kGoodEntry = R"(role: entry
+const std::string kValidEntry = R"(role: entry
 name: entry-1
 listen: 127.0.0.1:7001
 http: 127.0.0.1:7002
@@ -20,7 +20,7 @@
 shared_key: something-secret
 )";
 
-struct bad_settings
+struct bad_input
 {
   std::string mText;
   std::string mExpected; // part of the message
@@ -30,37 +30,38 @@
 
 TEST_CASE("valid settings are parsed, and absent keys get their defaults")
 {
-  entry_settings settings = ReadEntrySettings(kGoodEntry, "e.yaml").Value();
+  entry_settings settings = ReadEntrySettings(kValidEntry, "e.yaml").Value();
   CHECK(settings.mProcess.mName == "entry-1");
   CHECK(settings.mProcess.mDrainTimeoutMs == 30000);
-  CHECK(CheckSettings(kGoodEntry, "e.yaml").Value() == "entry");
+  CHECK(CheckSettings(kValidEntry, "e.yaml").Value() == "entry");
 }
 
 TEST_CASE("errors in settings name the file, line, key and allowed values")
 {
-  const bad_settings kCases[] = {
-    { kGoodEntry + "retention: 5\n", "e.yaml:8: retention is not a known key" },
-    { kGoodEntry + "retention_ms: 5\n",
+  const bad_input kCases[] = {
+    { kValidEntry + "retention: 5\n",
+      "e.yaml:8: retention is not a known key" },
+    { kValidEntry + "retention_ms: 5\n",
       "e.yaml:8: retention_ms must be a whole number from 1000" },
-    { kGoodEntry + "retention_ms: soon\n", "must be a whole number" },
-    { kGoodEntry + "name: again\n", "e.yaml:8: name is duplicated" },
-    { kGoodEntry + "seed_entries: [somewhere:80]\n", "must be an IP address" },
-    { kGoodEntry + "operator_tokens: { alice: short }\n", "16 characters" },
+    { kValidEntry + "retention_ms: soon\n", "must be a whole number" },
+    { kValidEntry + "name: again\n", "e.yaml:8: name is duplicated" },
+    { kValidEntry + "seed_entries: [somewhere:80]\n", "must be an IP address" },
+    { kValidEntry + "operator_tokens: { alice: short }\n", "16 characters" },
     { "role: entry\nname: x\n", "listen is missing" },
     { "role: [\n", "e.yaml:" },
     { "just text", "must be a mapping" },
   };
-  for (const bad_settings& bad : kCases) {
-    result<entry_settings> read = ReadEntrySettings(bad.mText, "e.yaml");
-    REQUIRE(!read.Ok());
-    std::string text = read.Error().what();
+  for (const bad_input& bad : kCases) {
+    result<entry_settings> parsed = ReadEntrySettings(bad.mText, "e.yaml");
+    REQUIRE(!parsed.Ok());
+    std::string text = parsed.Error().what();
     CHECK_MESSAGE(text.find(bad.mExpected) != std::string::npos, text);
   }
 }
 
 TEST_CASE("errors in profiles name the key and the allowed values")
 {
-  const bad_settings kCases[] = {
+  const bad_input kCases[] = {
     { R"({"name":"a","service":"s","deadline":5})", "unknown key deadline" },
     { R"({"name":"a","service":"s","priority":10})", "from 0 to 9" },
     { R"({"name":"a","service":"s","priority":-1})", "from 0 to 9" },
@@ -73,28 +74,28 @@
     { R"([])", "must be an object" },
     { R"({)", "parse error" },
   };
-  for (const bad_settings& bad : kCases) {
-    result<profile> read = ParseProfile(bad.mText);
-    REQUIRE(!read.Ok());
-    std::string text = read.Error().what();
+  for (const bad_input& bad : kCases) {
+    result<profile> parsed = ParseProfile(bad.mText);
+    REQUIRE(!parsed.Ok());
+    std::string text = parsed.Error().what();
     CHECK_MESSAGE(text.find(bad.mExpected) != std::string::npos, text);
   }
 }
 
 TEST_CASE("profiles and documents are unchanged when serialized and parsed")
 {
-  profile made;
-  made.mName = "quote";
-  made.mService = "ordering";
-  made.mPreference = cost_preference::Messages;
-  made.mShedding = shedding_order::LowestPriority;
-  made.mDeadlineMs = 1234;
-  made.mRevision = 5;
-  CHECK(SerializeProfile(ParseProfile(SerializeProfile(made)).Value()) ==
-        SerializeProfile(made));
+  profile original;
+  original.mName = "quote";
+  original.mService = "ordering";
+  original.mPreference = cost_preference::Messages;
+  original.mShedding = shedding_order::LowestPriority;
+  original.mDeadlineMs = 1234;
+  original.mRevision = 5;
+  CHECK(SerializeProfile(ParseProfile(SerializeProfile(original)).Value()) ==
+        SerializeProfile(original));
   deployment_config config;
   config.mVersion = 9;
-  config.mProfiles["quote"] = made;
+  config.mProfiles["quote"] = original;
   config.mTeams["builders"] = team{ "builders", 3, 100 };
   std::string text = config.Serialize();
   CHECK(deployment_config::Parse(text).Value().Serialize() == text);
@@ -112,7 +113,7 @@
 
 TEST_CASE("invalid submissions are refused with a reason")
 {
-  const bad_settings kCases[] = {
+  const bad_input kCases[] = {
     { "", "parse error" },
     { "[]", "must be an object" },
     { R"({"profile":"a"})", "at least one task" },
@@ -126,10 +127,10 @@
         std::string(5000, ']') + "]}",
       "nested too deeply" },
   };
-  for (const bad_settings& bad : kCases) {
-    result<submission> read = ParseSubmission(bad.mText, {});
-    REQUIRE(!read.Ok());
-    std::string text = read.Error().what();
+  for (const bad_input& bad : kCases) {
+    result<submission> parsed = ParseSubmission(bad.mText, {});
+    REQUIRE(!parsed.Ok());
+    std::string text = parsed.Error().what();
     CHECK_MESSAGE(text.find(bad.mExpected) != std::string::npos, text);
   }
 }
@@ -138,7 +139,7 @@
 {
   std::mt19937 random(11);
   const std::string kSeeds[] = {
-    kGoodEntry,
+    kValidEntry,
     R"({"profile":"a","tasks":[1,"x",{"y":2}],"deadline_ms":5})",
     R"({"name":"a","service":"s","priority":1})",
   };
