--- a/cactusmast/config_agent.cc
+++ b/cactusmast/config_agent.cc
@@ -11,10 +11,10 @@
 using nlohmann::json;
 
 // Interval between retries of a step while the table is unavailable.
-constexpr duration kRetryDelay = std::chrono::milliseconds(200);
+constexpr duration kRetryInterval = std::chrono::milliseconds(200);
 constexpr char kDocumentKey[] = "config/document";
 constexpr std::array<std::string_view, size_t(change_action::Count)>
-  kActions = { "put_profile", "retire_profile", "put_team" };
+  kActionNames = { "put_profile", "retire_profile", "put_team" };
 
 const table_row*
 FindRow(const table_reply& aReply, const std::string& aKey)
@@ -43,7 +43,7 @@
 
 // The profile or team that aChange is about, as in aConfig; null if absent.
 json
-Described(const deployment_config& aConfig, const config_change& aChange)
+TargetJson(const deployment_config& aConfig, const config_change& aChange)
 {
   if (aChange.mAction == change_action::PutTeam) {
     auto found = aConfig.mTeams.find(aChange.mTeam.mName);
@@ -69,13 +69,13 @@
 json
 ChangeRecord(const config_change& aChange, int64_t aWallSeconds)
 {
-  bool ofTeam = aChange.mAction == change_action::PutTeam;
+  bool isTeam = aChange.mAction == change_action::PutTeam;
   return { { "operation", aChange.mOperation },
            { "who", aChange.mWho },
            { "when", aWallSeconds },
            { "reason", aChange.mReason },
            { "action", Name(aChange.mAction) },
-           { "name", ofTeam ? aChange.mTeam.mName : aChange.mProfile.mName } };
+           { "name", isTeam ? aChange.mTeam.mName : aChange.mProfile.mName } };
 }
 
 } // namespace
@@ -83,7 +83,7 @@
 std::string_view
 Name(change_action aAction)
 {
-  return kActions[size_t(aAction) % kActions.size()];
+  return kActionNames[size_t(aAction) % kActionNames.size()];
 }
 
 std::string
@@ -113,7 +113,7 @@
 bool
 config_agent::Fresh(instant aNow) const
 {
-  return mTableSeen && aNow - mLastConfirmed <= mOptions.mStaleAfter;
+  return mPollSucceeded && aNow - mLastConfirmed <= mOptions.mStaleAfter;
 }
 
 void
@@ -132,20 +132,22 @@
     mEvents.Emit(event_code::ConfigStale,
                  { { "version", std::to_string(mConfig.mVersion) } });
   }
-  while (!mPending.empty() && aNow >= mPending.front().mDeadline) {
+  while (!mPendingChanges.empty() &&
+         aNow >= mPendingChanges.front().mDeadline) {
     bool written = mStep == step::Commit || mStep == step::ReadBack;
-    Refuse(error_code::Unavailable,
-           written ? run_state::Unknown : run_state::NotRun,
-           "the table is unavailable; see the audit trail for operation " +
-             mPending.front().mChange.mOperation,
-           aWallSeconds);
+    RefuseChange(
+      error_code::Unavailable,
+      written ? run_state::Unknown : run_state::NotRun,
+      "the table is unavailable; see the audit trail for operation " +
+        mPendingChanges.front().mChange.mOperation,
+      aWallSeconds);
   }
 }
 
 void
 config_agent::Change(const config_change& aChange, instant aNow)
 {
-  if (mPending.size() >= mOptions.mMaxPendingChanges) {
+  if (mPendingChanges.size() >= mOptions.mMaxPendingChanges) {
     throw failure(error_code::Overloaded,
                   "change configuration",
                   "",
@@ -153,7 +155,7 @@
                   run_state::NotRun,
                   std::chrono::seconds(1));
   }
-  mPending.push_back({ aChange, aNow + mOptions.mChangeTimeout });
+  mPendingChanges.push_back({ aChange, aNow + mOptions.mChangeTimeout });
   if (mStep == step::Idle) {
     StartChange();
   }
@@ -177,12 +179,12 @@
   }
   if (aReply.mRequest == mPollRequest) {
     mPollRequest = 0;
-    OnPolled(aReply, aNow);
+    OnPollReply(aReply, aNow);
     return true;
   }
   if (aReply.mRequest == mDocumentRequest) {
     mDocumentRequest = 0;
-    OnDocument(aReply);
+    OnDocumentReply(aReply);
     return true;
   }
   if (aReply.mRequest == mInitialRequest) {
@@ -196,13 +198,13 @@
   mChangeRequest = 0;
   switch (mStep) {
     case step::ReadCurrent:
-      OnCurrent(aReply, aWallSeconds);
+      OnCurrentReply(aReply, aWallSeconds);
       break;
     case step::Commit:
-      OnCommitted(aReply);
+      OnCommitReply(aReply);
       break;
     case step::ReadBack:
-      OnReadBack(aReply);
+      OnReadBackReply(aReply);
       break;
     case step::Idle:
       break;
@@ -211,17 +213,17 @@
 }
 
 void
-config_agent::OnPolled(const table_reply& aReply, instant aNow)
+config_agent::OnPollReply(const table_reply& aReply, instant aNow)
 {
   if (aReply.mStatus != table_status::Ok) {
-    mTableTried = true;
-    if (!Loaded() && !mOffered.empty()) {
-      Install(mOffered);
+    mPollAnswered = true;
+    if (!Loaded() && !mPeerDocument.empty()) {
+      Install(mPeerDocument);
     }
     return;
   }
-  mTableTried = true;
-  mTableSeen = true;
+  mPollAnswered = true;
+  mPollSucceeded = true;
   mLastConfirmed = aNow;
   if (mStaleReported) {
     mStaleReported = false;
@@ -245,16 +247,16 @@
   if (mInitialRequest != 0) {
     return;
   }
-  deployment_config first;
-  first.mVersion = 1;
-  first.mShardCount = mOptions.mInitialShardCount;
+  deployment_config initial;
+  initial.mVersion = 1;
+  initial.mShardCount = mOptions.mInitialShardCount;
   mInitialRequest =
     mTable.Commit({ { kConfigVersionKey, "1", 0, false },
-                    { kDocumentKey, first.Serialize(), 0, false } });
+                    { kDocumentKey, initial.Serialize(), 0, false } });
 }
 
 void
-config_agent::OnDocument(const table_reply& aReply)
+config_agent::OnDocumentReply(const table_reply& aReply)
 {
   const table_row* row = FindRow(aReply, kDocumentKey);
   if (aReply.mStatus == table_status::Ok && row != nullptr) {
@@ -263,19 +265,19 @@
 }
 
 void
-config_agent::OnPushed(uint64_t aVersion, const std::string& aDocument)
+config_agent::OnConfigPush(uint64_t aVersion, const std::string& aDocument)
 {
   if (!mSafeguards.mMonotonicVersion) {
     Install(aDocument);
     return;
   }
-  if (!Loaded() && !mTableTried) {
+  if (!Loaded() && !mPollAnswered) {
     // This process has just started, and the peer's document may be outdated.
     // The table is read first; if it is unavailable, the newest document that
     // a peer has pushed is installed.
-    if (aVersion > mOfferedVersion) {
-      mOfferedVersion = aVersion;
-      mOffered = aDocument;
+    if (aVersion > mPeerDocumentVersion) {
+      mPeerDocumentVersion = aVersion;
+      mPeerDocument = aDocument;
     }
     return;
   }
@@ -305,9 +307,9 @@
 }
 
 deployment_config
-config_agent::Apply(const deployment_config& aBase) const
+config_agent::ApplyChange(const deployment_config& aBase) const
 {
-  const config_change& change = mPending.front().mChange;
+  const config_change& change = mPendingChanges.front().mChange;
   deployment_config next = aBase;
   next.mVersion++;
   if (change.mAction == change_action::PutTeam) {
@@ -322,7 +324,7 @@
                   "profile " + change.mProfile.mName + " is at revision " +
                     std::to_string(current) + ", not " +
                     std::to_string(change.mExpectedRevision) +
-                    "; now: " + Described(aBase, change).dump());
+                    "; now: " + TargetJson(aBase, change).dump());
   }
   profile& target = next.mProfiles[change.mProfile.mName];
   if (change.mAction == change_action::RetireProfile) {
@@ -345,50 +347,50 @@
                        const deployment_config& aNext,
                        int64_t aWallSeconds) const
 {
-  const config_change& change = mPending.front().mChange;
+  const config_change& change = mPendingChanges.front().mChange;
   json row = ChangeRecord(change, aWallSeconds);
   row["outcome"] = "accepted";
   row["version"] = aNext.mVersion;
   row["from_revision"] = RevisionOf(aBase, change);
   row["to_revision"] = RevisionOf(aNext, change);
-  row["before"] = Described(aBase, change);
-  row["after"] = Described(aNext, change);
+  row["before"] = TargetJson(aBase, change);
+  row["after"] = TargetJson(aNext, change);
   return row.dump();
 }
 
 void
-config_agent::OnCurrent(const table_reply& aReply, int64_t aWallSeconds)
+config_agent::OnCurrentReply(const table_reply& aReply, int64_t aWallSeconds)
 {
   if (aReply.mStatus != table_status::Ok) {
-    mRetryAt = mNow + kRetryDelay;
+    mRetryAt = mNow + kRetryInterval;
     return;
   }
   const table_row* row = FindRow(aReply, kDocumentKey);
   if (row == nullptr) {
-    Refuse(error_code::Unavailable,
-           run_state::NotRun,
-           "the table holds no configuration yet",
-           aWallSeconds);
+    RefuseChange(error_code::Unavailable,
+                 run_state::NotRun,
+                 "the table holds no configuration yet",
+                 aWallSeconds);
     return;
   }
   try {
     deployment_config base = deployment_config::Parse(row->mValue).Value();
-    mNext = Apply(base);
-    mNextRevision = RevisionOf(mNext, mPending.front().mChange);
+    mNextConfig = ApplyChange(base);
+    mNextRevision = RevisionOf(mNextConfig, mPendingChanges.front().mChange);
     mWrites = {
       { kConfigVersionKey,
-        std::to_string(mNext.mVersion),
+        std::to_string(mNextConfig.mVersion),
         std::nullopt,
         false },
-      { kDocumentKey, mNext.Serialize(), row->mVersion, false },
-      { AuditKey(mNext.mVersion),
-        AuditRow(base, mNext, aWallSeconds),
+      { kDocumentKey, mNextConfig.Serialize(), row->mVersion, false },
+      { AuditKey(mNextConfig.mVersion),
+        AuditRow(base, mNextConfig, aWallSeconds),
         0,
         false },
     };
     SubmitCommit();
   } catch (const failure& error) {
-    Refuse(error.Code(), run_state::NotRun, error.what(), aWallSeconds);
+    RefuseChange(error.Code(), run_state::NotRun, error.what(), aWallSeconds);
   }
 }
 
@@ -400,16 +402,16 @@
 }
 
 void
-config_agent::OnCommitted(const table_reply& aReply)
+config_agent::OnCommitReply(const table_reply& aReply)
 {
   if (aReply.mStatus == table_status::Ok) {
-    Finish({ mPending.front().mChange.mToken,
-             true,
-             mNext.mVersion,
-             mNextRevision,
-             error_code::None,
-             run_state::Run,
-             "" });
+    FinishChange({ mPendingChanges.front().mChange.mToken,
+                   true,
+                   mNextConfig.mVersion,
+                   mNextRevision,
+                   error_code::None,
+                   run_state::Run,
+                   "" });
     return;
   }
   // A conflict may be due to an earlier commit of this same change whose reply
@@ -421,7 +423,7 @@
   }
   mStep = step::ReadBack;
   mRetryAt =
-    aReply.mStatus == table_status::Conflict ? mNow : mNow + kRetryDelay;
+    aReply.mStatus == table_status::Conflict ? mNow : mNow + kRetryInterval;
 }
 
 void
@@ -431,47 +433,48 @@
   if (mStep == step::ReadCurrent) {
     StartChange();
   } else if (mStep == step::ReadBack) {
-    mChangeRequest = mTable.Read(AuditKey(mNext.mVersion), 1, false);
+    mChangeRequest = mTable.Read(AuditKey(mNextConfig.mVersion), 1, false);
   }
 }
 
 void
-config_agent::OnReadBack(const table_reply& aReply)
+config_agent::OnReadBackReply(const table_reply& aReply)
 {
   if (aReply.mStatus != table_status::Ok) {
-    mRetryAt = mNow + kRetryDelay;
+    mRetryAt = mNow + kRetryInterval;
     return;
   }
-  const table_row* row = FindRow(aReply, AuditKey(mNext.mVersion));
+  const table_row* row = FindRow(aReply, AuditKey(mNextConfig.mVersion));
   if (row == nullptr) {
     // The transaction has not been executed, or not yet. It can be sent again,
     // since its conditions let it succeed at most once.
     SubmitCommit();
     return;
   }
-  json holder = json::parse(row->mValue, nullptr, false);
-  bool mine = holder.is_object() && holder.value("operation", "") ==
-                                      mPending.front().mChange.mOperation;
-  if (!mine) {
+  json auditRow = json::parse(row->mValue, nullptr, false);
+  bool isOwn =
+    auditRow.is_object() && auditRow.value("operation", "") ==
+                              mPendingChanges.front().mChange.mOperation;
+  if (!isOwn) {
     StartChange();
     return;
   }
-  Finish({ mPending.front().mChange.mToken,
-           true,
-           mNext.mVersion,
-           mNextRevision,
-           error_code::None,
-           run_state::Run,
-           "" });
+  FinishChange({ mPendingChanges.front().mChange.mToken,
+                 true,
+                 mNextConfig.mVersion,
+                 mNextRevision,
+                 error_code::None,
+                 run_state::Run,
+                 "" });
 }
 
 void
-config_agent::Refuse(error_code aCode,
-                     run_state aRun,
-                     const std::string& aText,
-                     int64_t aWallSeconds)
+config_agent::RefuseChange(error_code aCode,
+                           run_state aRun,
+                           const std::string& aText,
+                           int64_t aWallSeconds)
 {
-  const config_change& change = mPending.front().mChange;
+  const config_change& change = mPendingChanges.front().mChange;
   json row = ChangeRecord(change, aWallSeconds);
   row["outcome"] = aRun == run_state::Unknown ? "unknown" : "refused";
   row["error"] = Name(aCode);
@@ -483,14 +486,14 @@
         row.dump(),
         0,
         false } });
-  Finish({ change.mToken, false, 0, 0, aCode, aRun, aText });
+  FinishChange({ change.mToken, false, 0, 0, aCode, aRun, aText });
 }
 
 void
-config_agent::Finish(const change_outcome& aOutcome)
+config_agent::FinishChange(const change_outcome& aOutcome)
 {
-  config_change change = mPending.front().mChange;
-  mPending.pop_front();
+  config_change change = mPendingChanges.front().mChange;
+  mPendingChanges.pop_front();
   mStep = step::Idle;
   mChangeRequest = 0;
   mRetryAt = {};
@@ -501,10 +504,10 @@
                  { "version", std::to_string(aOutcome.mVersion) },
                  { "text", aOutcome.mText } });
   if (aOutcome.mAccepted) {
-    Install(mNext.Serialize());
+    Install(mNextConfig.Serialize());
   }
   mListener.OnChangeDone(aOutcome);
-  if (!mPending.empty()) {
+  if (!mPendingChanges.empty()) {
     StartChange();
   }
 }
--- a/cactusmast/config_agent.h
+++ b/cactusmast/config_agent.h
@@ -118,7 +118,7 @@
                     instant aNow,
                     int64_t aWallSeconds);
   // Handles a document pushed by a peer. It is ignored unless it is newer.
-  void OnPushed(uint64_t aVersion, const std::string& aDocument);
+  void OnConfigPush(uint64_t aVersion, const std::string& aDocument);
 
   // Queues a change; OnChangeDone reports its outcome. Throws
   // failure(Overloaded) if too many changes are queued.
@@ -153,11 +153,11 @@
   void StartChange();
   // Sends the read of the current step; called when mRetryAt is reached.
   void RetryStep();
-  void OnCurrent(const table_reply& aReply, int64_t aWallSeconds);
-  void OnCommitted(const table_reply& aReply);
-  void OnReadBack(const table_reply& aReply);
-  void OnPolled(const table_reply& aReply, instant aNow);
-  void OnDocument(const table_reply& aReply);
+  void OnCurrentReply(const table_reply& aReply, int64_t aWallSeconds);
+  void OnCommitReply(const table_reply& aReply);
+  void OnReadBackReply(const table_reply& aReply);
+  void OnPollReply(const table_reply& aReply, instant aNow);
+  void OnDocumentReply(const table_reply& aReply);
   // Writes the first document, with version 1 and no profiles. The transaction
   // fails if another process has written one.
   void CommitInitial();
@@ -165,17 +165,17 @@
   void SubmitCommit();
   // Returns the document with the first queued change applied to aBase. Throws
   // failure(Conflict) or failure(NotFound).
-  deployment_config Apply(const deployment_config& aBase) const;
+  deployment_config ApplyChange(const deployment_config& aBase) const;
   std::string AuditRow(const deployment_config& aBase,
                        const deployment_config& aNext,
                        int64_t aWallSeconds) const;
   // Reports the outcome of the first queued change and starts the next one.
-  void Finish(const change_outcome& aOutcome);
+  void FinishChange(const change_outcome& aOutcome);
   // Writes a row about the refused change for the audit trail and finishes it.
-  void Refuse(error_code aCode,
-              run_state aRun,
-              const std::string& aText,
-              int64_t aWallSeconds);
+  void RefuseChange(error_code aCode,
+                    run_state aRun,
+                    const std::string& aText,
+                    int64_t aWallSeconds);
   // Puts a document in force if it is valid and newer.
   void Install(const std::string& aDocument);
 
@@ -185,16 +185,16 @@
   config_listener& mListener;
   config_safeguards mSafeguards;
 
-  deployment_config mConfig; // in force
-  std::string mDocument;     // the same as JSON
-  bool mTableSeen = false;   // some poll has succeeded
+  deployment_config mConfig;   // in force
+  std::string mDocument;       // the same as JSON
+  bool mPollSucceeded = false; // some poll has succeeded
   bool mStaleReported = false;
-  bool mTableTried = false;   // some poll was answered, if only by an error
+  bool mPollAnswered = false; // some poll was answered, if only by an error
   uint64_t mTableVersion = 0; // newest version read from the table
   // The newest document that a peer pushed before the first poll was answered;
   // 0 and empty if there is none.
-  uint64_t mOfferedVersion = 0;
-  std::string mOffered;
+  uint64_t mPeerDocumentVersion = 0;
+  std::string mPeerDocument;
   instant mLastConfirmed{}; // time of the last successful poll
   instant mNextPoll{};
   // Open requests to the table; 0 if there is none.
@@ -204,14 +204,14 @@
 
   // Queued changes. They are written one at a time; the first one is in
   // progress, and the members below belong to it.
-  std::deque<pending_change> mPending;
+  std::deque<pending_change> mPendingChanges;
   step mStep = step::Idle;
   uint64_t mChangeRequest = 0; // open request to the table; 0: none
   std::vector<table_write> mWrites;
-  deployment_config mNext;    // the document with the change applied
-  uint64_t mNextRevision = 0; // of the profile in mNext
-  instant mRetryAt{};         // 0: no retry is due
-  instant mNow{};             // of the latest call
+  deployment_config mNextConfig; // the document with the change applied
+  uint64_t mNextRevision = 0;    // of the profile in mNextConfig
+  instant mRetryAt{};            // 0: no retry is due
+  instant mNow{};                // of the latest call
 };
 
 // The key of the audit row for the change that made aVersion.
