--- a/cactusmast/entry_membership.cc
+++ b/cactusmast/entry_membership.cc
@@ -17,7 +17,7 @@
 constexpr uint32_t kMaxRosterRows = 1024;
 constexpr milliseconds kRosterInterval{ 200 };   // between writes of a roster
 constexpr milliseconds kEntriesInterval{ 5000 }; // between reads of the rows
-constexpr milliseconds kDialInterval{ 1000 };    // between connection attempts
+constexpr milliseconds kConnectInterval{ 1000 }; // between connection attempts
 
 // The row of a roster lists the workers of a shard that may hold records.
 constexpr char kRosterPrefix[] = "roster/";
@@ -30,12 +30,12 @@
 
 // Adds aWorker to aInto, or updates when it was last alive.
 void
-MergeKnown(std::vector<known_worker>* aInto, const known_worker& aWorker)
+MergeWorker(std::vector<known_worker>* aInto, const known_worker& aWorker)
 {
-  for (known_worker& present : *aInto) {
-    if (present.mName == aWorker.mName &&
-        present.mIncarnation == aWorker.mIncarnation) {
-      present.mLastAlive = std::max(present.mLastAlive, aWorker.mLastAlive);
+  for (known_worker& existing : *aInto) {
+    if (existing.mName == aWorker.mName &&
+        existing.mIncarnation == aWorker.mIncarnation) {
+      existing.mLastAlive = std::max(existing.mLastAlive, aWorker.mLastAlive);
       return;
     }
   }
@@ -45,10 +45,10 @@
 } // namespace
 
 void
-entry_node::NoteSeen(const peer_identity& aIdentity, instant aNow)
+entry_node::AddSeenWorker(const peer_identity& aIdentity, instant aNow)
 {
-  MergeKnown(&Shard(aIdentity.mShard).mSeen,
-             { aIdentity.mName, aIdentity.mIncarnation, aNow });
+  MergeWorker(&Shard(aIdentity.mShard).mSeenWorkers,
+              { aIdentity.mName, aIdentity.mIncarnation, aNow });
 }
 
 bool
@@ -79,9 +79,9 @@
 {
   uint64_t own = RendezvousWeight(aShard, mOptions.mName);
   for (const auto& [peer, row] : mPeers) {
-    bool rival = IsLiveEntry(row, aNow) && !row.mStatus.draining &&
-                 row.mStatus.config_version > 0;
-    if (rival && RendezvousWeight(aShard, row.mIdentity.mName) > own) {
+    bool eligible = IsLiveEntry(row, aNow) && !row.mStatus.draining &&
+                    row.mStatus.config_version > 0;
+    if (eligible && RendezvousWeight(aShard, row.mIdentity.mName) > own) {
       return false;
     }
   }
@@ -95,9 +95,9 @@
   uint64_t bestWeight = 0;
   for (const auto& [peer, row] : mPeers) {
     // An entry without a configuration would refuse the open jobs.
-    bool able = IsLiveEntry(row, aNow) && !row.mStatus.draining &&
-                row.mStatus.config_version > 0;
-    if (!able) {
+    bool eligible = IsLiveEntry(row, aNow) && !row.mStatus.draining &&
+                    row.mStatus.config_version > 0;
+    if (!eligible) {
       continue;
     }
     uint64_t weight = RendezvousWeight(aShard, row.mIdentity.mName);
@@ -112,8 +112,8 @@
 void
 entry_node::RunElections(instant aNow)
 {
-  bool settled = aNow - mStarted >= mOptions.mElectionDelay;
-  if (!mConfig.Loaded() || !settled) {
+  bool delayOver = aNow - mStarted >= mOptions.mElectionDelay;
+  if (!mConfig.Loaded() || !delayOver) {
     return;
   }
   for (uint32_t number = 0; number < ShardCount(); number++) {
@@ -128,8 +128,8 @@
     }
     bool claimable =
       !mDraining && OwnerPeer(number, aNow) == 0 && IsCandidate(number, aNow);
-    if (claimable && mRostersTried) {
-      Claim(number, shard.mEpochSeen + 1, aNow);
+    if (claimable && mRostersAnswered) {
+      Claim(number, shard.mMaxEpoch + 1, aNow);
     }
   }
 }
@@ -140,7 +140,7 @@
 void
 entry_node::OnRosters(const table_reply& aReply, instant aNow)
 {
-  mRostersTried = true;
+  mRostersAnswered = true;
   if (aReply.mStatus != table_status::Ok) {
     return;
   }
@@ -170,12 +170,12 @@
 }
 
 std::vector<known_worker>
-entry_node::Known(uint32_t aShard, instant aNow) const
+entry_node::KnownWorkers(uint32_t aShard, instant aNow) const
 {
   const shard_row& shard = mShards.at(aShard);
-  std::vector<known_worker> known = shard.mSeen;
+  std::vector<known_worker> known = shard.mSeenWorkers;
   for (const known_worker& worker : shard.mRoster) {
-    MergeKnown(&known, worker);
+    MergeWorker(&known, worker);
   }
   if (!mRostersRead) {
     // No roster has been read since the start, so there may be workers with
@@ -200,7 +200,7 @@
   options.mShard = aShard;
   shard.mOwner = std::make_unique<shard_owner>(options,
                                                aEpoch,
-                                               Known(aShard, aNow),
+                                               KnownWorkers(aShard, aNow),
                                                mConfig.InForce(),
                                                mNetwork,
                                                *this,
@@ -212,9 +212,9 @@
   shard.mStoredVersion = 0;
   shard.mNextStore = aNow;
   for (const auto& [peer, row] : mPeers) {
-    bool member = row.mIdentity.mRole == process_role::Guard &&
-                  row.mIdentity.mShard == aShard;
-    if (!member) {
+    bool isMember = row.mIdentity.mRole == process_role::Guard &&
+                    row.mIdentity.mShard == aShard;
+    if (!isMember) {
       continue;
     }
     shard.mOwner->Attach(peer, row.mIdentity, aNow);
@@ -259,11 +259,11 @@
   shard_row& shard = Shard(aShard);
   std::vector<shard_owner::moved_job> moved =
     shard.mOwner->StepDown(aSuccessor, aNow);
-  shard.mEpochSeen = std::max(shard.mEpochSeen, shard.mOwner->Epoch());
-  AddCounters(shard.mOwner->Counters(), &shard.mPast);
+  shard.mMaxEpoch = std::max(shard.mMaxEpoch, shard.mOwner->Epoch());
+  AddCounters(shard.mOwner->Counters(), &shard.mPastCounters);
   shard.mOwner.reset();
   for (shard_owner::moved_job& job : moved) {
-    bool waitedFor = false;
+    bool hasRequest = false;
     for (const waiter& waiting : job.mWaiters) {
       auto request = mRequests.find(waiting.mToken);
       if (request == mRequests.end()) {
@@ -271,13 +271,13 @@
       }
       if (request->second.mKind == request_kind::Submit) {
         request->second.mSubmission = job.mSubmission;
-        waitedFor = true;
+        hasRequest = true;
       }
     }
-    if (!waitedFor) {
+    if (!hasRequest) {
       // No request here waits for the job, but it still has to be sent to its
-      // new owner. Since mUntil is now, that one immediately replies that the
-      // job is running.
+      // new owner. Since mReplyDue is now, that one immediately replies that
+      // the job is running.
       request_row row;
       row.mKind = request_kind::Submit;
       row.mTeam = job.mSubmission.mTeam;
@@ -285,15 +285,15 @@
       row.mSubmission = std::move(job.mSubmission);
       row.mCreated = aNow;
       row.mPendingSince = aNow;
-      row.mUntil = aNow;
-      row.mEverSent = true;
+      row.mReplyDue = aNow;
+      row.mEverRouted = true;
       mRequests.emplace(mNextToken++, std::move(row));
     }
     for (const waiter& waiting : job.mWaiters) {
-      wire::job_reply_msg again;
-      again.error = uint8_t(error_code::Unavailable);
-      again.step = kRouteStep;
-      Answer(waiting.mToken, std::move(again));
+      wire::job_reply_msg reroute;
+      reroute.error = uint8_t(error_code::Unavailable);
+      reroute.step = kRouteStep;
+      Answer(waiting.mToken, std::move(reroute));
     }
   }
   // Any other requests that the owner held are routed again as well.
@@ -313,12 +313,12 @@
 entry_node::OnHandover(const wire::handover_msg& aPart, instant aNow)
 {
   shard_row& shard = Shard(aPart.shard);
-  shard.mEpochSeen = std::max(shard.mEpochSeen, aPart.epoch);
+  shard.mMaxEpoch = std::max(shard.mMaxEpoch, aPart.epoch);
   if (shard.mOwner == nullptr) {
     if (mDraining || !mConfig.Loaded()) {
       return; // the next owner collects the guards' records instead
     }
-    Claim(aPart.shard, shard.mEpochSeen + 1, aNow);
+    Claim(aPart.shard, shard.mMaxEpoch + 1, aNow);
   }
   shard.mOwner->OnHandover(aPart, aNow);
 }
@@ -333,7 +333,7 @@
   row.mStatusKnown = true;
   for (const wire::owned_shard_msg& owned : aStatus.shards) {
     shard_row& shard = Shard(owned.shard);
-    shard.mEpochSeen = std::max(shard.mEpochSeen, owned.epoch);
+    shard.mMaxEpoch = std::max(shard.mMaxEpoch, owned.epoch);
   }
   if (aStatus.config_version < row.mPushedVersion) {
     // The peer has restarted or the document was lost, so it is sent again.
@@ -375,17 +375,17 @@
   }
   status.config_version = mConfig.InForce().mVersion;
   status.draining = mDraining;
-  bool toGuards = aNow >= mNextGuardStatus;
-  if (toGuards) {
+  bool sendToGuards = aNow >= mNextGuardStatus;
+  if (sendToGuards) {
     mNextGuardStatus = aNow + mOptions.mGuardStatusInterval;
   }
-  wire::peer_status_msg forGuards;
-  forGuards.entries = EntryAddresses();
+  wire::peer_status_msg guardStatus;
+  guardStatus.entries = EntryAddresses();
   for (const auto& [peer, row] : mPeers) {
     if (row.mIdentity.mRole == process_role::Entry) {
       mNetwork.Send(peer, MakeMessage(wire::peer_status_msg(status)));
-    } else if (toGuards) {
-      mNetwork.Send(peer, MakeMessage(wire::peer_status_msg(forGuards)));
+    } else if (sendToGuards) {
+      mNetwork.Send(peer, MakeMessage(wire::peer_status_msg(guardStatus)));
     }
   }
 }
@@ -395,34 +395,34 @@
 void
 entry_node::CheckEntryLinks(instant aNow)
 {
-  std::vector<peer_id> silent;
+  std::vector<peer_id> timedOut;
   for (const auto& [peer, row] : mPeers) {
-    bool entry = row.mIdentity.mRole == process_role::Entry;
-    if (entry && aNow - row.mLastHeard >= mOptions.mPeerTimeout) {
-      silent.push_back(peer);
+    bool isEntry = row.mIdentity.mRole == process_role::Entry;
+    if (isEntry && aNow - row.mLastHeard >= mOptions.mPeerTimeout) {
+      timedOut.push_back(peer);
     }
   }
-  for (peer_id peer : silent) {
+  for (peer_id peer : timedOut) {
     mEvents.Emit(event_code::PeerSilent,
                  { { "peer", mPeers.at(peer).mIdentity.mName } });
     OnPeerDown(peer, aNow);
     mNetwork.Close(peer);
   }
-  if (aNow < mNextDial) {
+  if (aNow < mNextConnect) {
     return;
   }
-  mNextDial = aNow + kDialInterval;
-  std::vector<std::string> wanted = mOptions.mSeedEntries;
+  mNextConnect = aNow + kConnectInterval;
+  std::vector<std::string> targets = mOptions.mSeedEntries;
   for (const auto& [name, address] : mEntryAddresses) {
-    wanted.push_back(address);
+    targets.push_back(address);
   }
-  std::sort(wanted.begin(), wanted.end());
-  wanted.erase(std::unique(wanted.begin(), wanted.end()), wanted.end());
-  for (const std::string& address : wanted) {
+  std::sort(targets.begin(), targets.end());
+  targets.erase(std::unique(targets.begin(), targets.end()), targets.end());
+  for (const std::string& address : targets) {
     bool connected = address == mOptions.mAddress;
     for (const auto& [peer, row] : mPeers) {
-      bool entry = row.mIdentity.mRole == process_role::Entry;
-      connected = connected || (entry && row.mIdentity.mAddress == address);
+      bool isEntry = row.mIdentity.mRole == process_role::Entry;
+      connected = connected || (isEntry && row.mIdentity.mAddress == address);
     }
     // Only one entry of each pair connects. Otherwise both would keep replacing
     // each other's links.
@@ -435,8 +435,8 @@
 void
 entry_node::RenewRow(instant aNow)
 {
-  if (aNow >= mNextRow && mRowRequest == 0 && mWallSeconds > 0) {
-    mNextRow = aNow + mOptions.mRowInterval;
+  if (aNow >= mNextRowRenewal && mRowRequest == 0 && mWallSeconds > 0) {
+    mNextRowRenewal = aNow + mOptions.mRowInterval;
     std::string key = "entry/" + mOptions.mName;
     if (mDraining) {
       mRowRequest = mTable.Commit({ { key, "", std::nullopt, true } });
@@ -470,11 +470,11 @@
       continue;
     }
     int64_t age = mWallSeconds - listed.value("renewed", int64_t(0));
-    if (age > 2 * mOptions.mRowLifeSeconds) {
+    if (age > 2 * mOptions.mRowLifetimeSeconds) {
       // The row was left by an instance that failed. Its name is not used
       // again.
       mTable.Commit({ { row.mKey, "", row.mVersion, true } });
-    } else if (age <= mOptions.mRowLifeSeconds) {
+    } else if (age <= mOptions.mRowLifetimeSeconds) {
       addresses[listed.value("name", "")] = listed.value("address", "");
     }
   }
@@ -570,7 +570,7 @@
 std::vector<process_status>
 entry_node::Processes(instant aNow) const
 {
-  std::vector<process_status> made;
+  std::vector<process_status> statuses;
   process_status own;
   own.mRole = process_role::Entry;
   own.mName = mOptions.mName;
@@ -578,7 +578,7 @@
   own.mDataCenter = mOptions.mDataCenter;
   own.mConfigVersion = mConfig.InForce().mVersion;
   own.mDraining = mDraining;
-  made.push_back(own);
+  statuses.push_back(own);
   for (const auto& [peer, row] : mPeers) {
     process_status status;
     status.mRole = row.mIdentity.mRole;
@@ -599,30 +599,30 @@
       status.mRunning = row.mWorker.running;
       status.mServices = row.mWorker.services;
     }
-    made.push_back(std::move(status));
+    statuses.push_back(std::move(status));
   }
-  return made;
+  return statuses;
 }
 
 std::vector<shard_owner::worker_status>
 entry_node::Workers(instant aNow) const
 {
-  std::vector<shard_owner::worker_status> made;
+  std::vector<shard_owner::worker_status> statuses;
   for (const auto& [number, shard] : mShards) {
     if (shard.mOwner == nullptr) {
       continue;
     }
     for (auto& worker : shard.mOwner->Workers(aNow)) {
-      made.push_back(std::move(worker));
+      statuses.push_back(std::move(worker));
     }
   }
-  return made;
+  return statuses;
 }
 
 std::vector<entry_node::shard_status>
 entry_node::Shards(instant aNow) const
 {
-  std::vector<shard_status> made;
+  std::vector<shard_status> statuses;
   for (uint32_t number = 0; number < ShardCount(); number++) {
     shard_status status;
     status.mShard = number;
@@ -647,9 +647,9 @@
         }
       }
     }
-    made.push_back(std::move(status));
+    statuses.push_back(std::move(status));
   }
-  return made;
+  return statuses;
 }
 
 owner_counters
@@ -657,7 +657,7 @@
 {
   owner_counters sum;
   for (const auto& [number, shard] : mShards) {
-    AddCounters(shard.mPast, &sum);
+    AddCounters(shard.mPastCounters, &sum);
     if (shard.mOwner != nullptr) {
       AddCounters(shard.mOwner->Counters(), &sum);
     }
--- a/cactusmast/entry_node.cc
+++ b/cactusmast/entry_node.cc
@@ -76,11 +76,11 @@
     mNextStatus = aNow; // report the shards owned here immediately
     return;
   }
-  NoteSeen(aIdentity, aNow);
+  AddSeenWorker(aIdentity, aNow);
   wire::peer_status_msg status;
   status.entries = EntryAddresses();
   mNetwork.Send(aPeer, MakeMessage(std::move(status)));
-  shard_owner* owner = OwnerFor(aPeer);
+  shard_owner* owner = LocalOwnerFor(aPeer);
   if (owner != nullptr) {
     owner->Attach(aPeer, aIdentity, aNow);
     PushConfig(aPeer);
@@ -98,35 +98,36 @@
   peer_row row = found->second;
   mEvents.Emit(event_code::PeerDown, { { "peer", PeerName(row.mIdentity) } });
   if (row.mIdentity.mRole == process_role::Guard) {
-    shard_owner* owner = OwnerFor(aPeer);
+    shard_owner* owner = LocalOwnerFor(aPeer);
     if (owner != nullptr) {
       owner->Detach(aPeer, aNow);
     }
-    NoteSeen(row.mIdentity, aNow);
+    AddSeenWorker(row.mIdentity, aNow);
     if (row.mWorkerKnown && row.mWorker.records_kept) {
       // Other guards copied its records before it stopped, so that no records
       // are missing.
-      std::vector<known_worker>& seen = Shard(row.mIdentity.mShard).mSeen;
-      const peer_identity& left = row.mIdentity;
+      std::vector<known_worker>& seen =
+        Shard(row.mIdentity.mShard).mSeenWorkers;
+      const peer_identity& stopped = row.mIdentity;
       seen.erase(std::remove_if(seen.begin(),
                                 seen.end(),
-                                [&left](const known_worker& aWorker) {
-                                  return aWorker.mName == left.mName &&
+                                [&stopped](const known_worker& aWorker) {
+                                  return aWorker.mName == stopped.mName &&
                                          aWorker.mIncarnation ==
-                                           left.mIncarnation;
+                                           stopped.mIncarnation;
                                 }),
                  seen.end());
     }
   }
   mPeers.erase(aPeer);
-  ForgetOwner(aPeer, aNow);
+  ReleasePeerRequests(aPeer, aNow);
 }
 
 // Requests that were forwarded to a lost entry go to the next owner of the
 // shard. The lost one may have started their tasks; the next one learns of
 // these starts from the guards' records before it accepts the requests.
 void
-entry_node::ForgetOwner(peer_id aPeer, instant aNow)
+entry_node::ReleasePeerRequests(peer_id aPeer, instant aNow)
 {
   for (auto& [token, row] : mRequests) {
     if (row.mState == request_state::Forwarded && row.mOwner == aPeer) {
@@ -136,9 +137,10 @@
       mNextRoute = {};
     }
   }
-  for (auto served = mServed.begin(); served != mServed.end();) {
-    served =
-      served->second.mPeer == aPeer ? mServed.erase(served) : std::next(served);
+  for (auto served = mServedRequests.begin();
+       served != mServedRequests.end();) {
+    served = served->second.mPeer == aPeer ? mServedRequests.erase(served)
+                                           : std::next(served);
   }
 }
 
@@ -149,7 +151,7 @@
 }
 
 shard_owner*
-entry_node::OwnerFor(peer_id aPeer)
+entry_node::LocalOwnerFor(peer_id aPeer)
 {
   auto found = mPeers.find(aPeer);
   if (found == mPeers.end()) {
@@ -168,7 +170,7 @@
     return;
   }
   found->second.mLastHeard = aNow;
-  shard_owner* owner = OwnerFor(aPeer);
+  shard_owner* owner = LocalOwnerFor(aPeer);
   bool fromGuard = found->second.mIdentity.mRole == process_role::Guard;
   if (fromGuard) {
     switch (aMessage.type) {
@@ -176,8 +178,8 @@
         OnWorkerState(aPeer, *aMessage.Asworker_state(), aNow);
         break;
       case message_kind::lease_reply:
-        Shard(found->second.mIdentity.mShard).mEpochSeen =
-          std::max(Shard(found->second.mIdentity.mShard).mEpochSeen,
+        Shard(found->second.mIdentity.mShard).mMaxEpoch =
+          std::max(Shard(found->second.mIdentity.mShard).mMaxEpoch,
                    aMessage.Aslease_reply()->epoch);
         if (owner != nullptr) {
           owner->OnLeaseReply(aPeer, *aMessage.Aslease_reply(), aNow);
@@ -208,8 +210,8 @@
       OnPeerStatus(aPeer, *aMessage.Aspeer_status(), aNow);
       break;
     case message_kind::config_push:
-      mConfig.OnPushed(aMessage.Asconfig_push()->version,
-                       aMessage.Asconfig_push()->document);
+      mConfig.OnConfigPush(aMessage.Asconfig_push()->version,
+                           aMessage.Asconfig_push()->document);
       break;
     case message_kind::job_request:
       OnJobRequest(aPeer, *aMessage.Asjob_request(), aNow);
@@ -247,8 +249,8 @@
     }
   }
   for (const auto& [peer, row] : mPeers) {
-    bool entry = row.mIdentity.mRole == process_role::Entry;
-    if (entry || OwnerFor(peer) != nullptr) {
+    bool isEntry = row.mIdentity.mRole == process_role::Entry;
+    if (isEntry || LocalOwnerFor(peer) != nullptr) {
       PushConfig(peer);
     }
   }
@@ -263,10 +265,10 @@
     return;
   }
   peer_row& row = found->second;
-  uint64_t has = row.mIdentity.mRole == process_role::Entry
-                   ? row.mStatus.config_version
-                   : row.mWorker.config_version;
-  if (has >= version || row.mPushedVersion >= version) {
+  uint64_t peerVersion = row.mIdentity.mRole == process_role::Entry
+                           ? row.mStatus.config_version
+                           : row.mWorker.config_version;
+  if (peerVersion >= version || row.mPushedVersion >= version) {
     return;
   }
   row.mPushedVersion = version;
@@ -284,13 +286,13 @@
   peer_row& row = mPeers[aPeer];
   row.mWorker = aState;
   row.mWorkerKnown = true;
-  NoteSeen(row.mIdentity, aNow);
+  AddSeenWorker(row.mIdentity, aNow);
   if (!aState.services.empty()) {
     Shard(row.mIdentity.mShard).mTraits[row.mIdentity.mName] = {
       TraitsOf(aState), aNow
     };
   }
-  shard_owner* owner = OwnerFor(aPeer);
+  shard_owner* owner = LocalOwnerFor(aPeer);
   if (owner != nullptr) {
     owner->OnWorkerState(aPeer, aState);
     PushConfig(aPeer);
@@ -373,11 +375,11 @@
       shard.mOwner->FailAll(aNow);
     }
   }
-  std::vector<uint64_t> left;
+  std::vector<uint64_t> openRequests;
   for (const auto& [token, row] : mRequests) {
-    left.push_back(token);
+    openRequests.push_back(token);
   }
-  for (uint64_t token : left) {
+  for (uint64_t token : openRequests) {
     FailRequest(token, "this entry stopped before the job ended");
   }
 }
--- a/cactusmast/entry_node.h
+++ b/cactusmast/entry_node.h
@@ -69,7 +69,7 @@
   // Interval at which the entry renews its row in the table, and the age at
   // which rows of other entries expire.
   duration mRowInterval = std::chrono::seconds(10);
-  int64_t mRowLifeSeconds = 60;
+  int64_t mRowLifetimeSeconds = 60;
   // Interval at which guards get the addresses of all entries.
   duration mGuardStatusInterval = std::chrono::seconds(20);
   size_t mMaxRequests = 20000; // open requests
@@ -189,7 +189,7 @@
   // Total size of the payloads of open requests.
   uint64_t RequestBytes() const { return mRequestBytes; }
   // How often a request was forwarded to another entry since the start.
-  uint64_t ForwardedRequests() const { return mForwarded; }
+  uint64_t ForwardedRequests() const { return mForwardCount; }
   // Whether the entry has a configuration and does not drain.
   bool IsReady() const { return mConfig.Loaded() && !mDraining; }
 
@@ -217,7 +217,7 @@
   {
     std::unique_ptr<shard_owner> mOwner; // null if another entry is the owner
     // Workers that were connected to this process.
-    std::vector<known_worker> mSeen;
+    std::vector<known_worker> mSeenWorkers;
     // Traits of these workers by name, each with the time of their last report.
     std::map<std::string, std::pair<worker_traits, instant>> mTraits;
     std::vector<known_worker> mRoster; // as last read from the table
@@ -227,8 +227,8 @@
     uint64_t mStoringVersion = 0;
     uint64_t mStoredVersion = 0;
     instant mNextStore{};
-    uint64_t mEpochSeen = 0; // greatest epoch known of any owner
-    owner_counters mPast;    // sums of the owners here that stepped down
+    uint64_t mMaxEpoch = 0;       // greatest epoch known of any owner
+    owner_counters mPastCounters; // sums of the owners here that stepped down
   };
 
   enum class request_state : uint8_t
@@ -250,10 +250,10 @@
     submission mSubmission;
     uint64_t mBytes = 0; // size of the payloads
     instant mCreated{};
-    instant mUntil{};        // the reply is due
-    instant mPendingSince{}; // when mState last became Pending
-    peer_id mOwner = 0;      // entry to which it was forwarded; 0: none
-    bool mEverSent = false;  // some owner may have received it
+    instant mReplyDue{};      // latest time of the reply
+    instant mPendingSince{};  // when mState last became Pending
+    peer_id mOwner = 0;       // entry to which it was forwarded; 0: none
+    bool mEverRouted = false; // some owner may have received it
   };
 
   // A request that another entry forwarded to this one.
@@ -272,12 +272,12 @@
   peer_id OwnerPeer(uint32_t aShard, instant aNow) const;
 
   // Adds a request about an existing job: Watch or Cancel.
-  void Follow(request_kind aKind,
-              caller_id aCaller,
-              const std::string& aTeam,
-              const job_id& aId,
-              duration aWait,
-              instant aNow);
+  void AddWatchOrCancel(request_kind aKind,
+                        caller_id aCaller,
+                        const std::string& aTeam,
+                        const job_id& aId,
+                        duration aWait,
+                        instant aNow);
   // Admits and routes a request, or refuses it.
   void AddRequest(request_row aRow, instant aNow);
   // Passes a request to the owner of its shard, if one is known.
@@ -293,7 +293,7 @@
   void FailRequest(uint64_t aToken, const std::string& aText);
   // Returns requests that were forwarded to a lost peer to Pending, and drops
   // those that it had forwarded to this process.
-  void ForgetOwner(peer_id aPeer, instant aNow);
+  void ReleasePeerRequests(peer_id aPeer, instant aNow);
 
   void OnJobRequest(peer_id aPeer,
                     const wire::job_request_msg& aRequest,
@@ -307,7 +307,7 @@
                      instant aNow);
   void OnHandover(const wire::handover_msg& aPart, instant aNow);
   // The local owner of the shard of guard aPeer; null if there is none.
-  shard_owner* OwnerFor(peer_id aPeer);
+  shard_owner* LocalOwnerFor(peer_id aPeer);
 
   // Claims shards without an owner, and gives up those that another entry owns.
   void RunElections(instant aNow);
@@ -326,8 +326,9 @@
   // is none.
   peer_id Successor(uint32_t aShard, instant aNow) const;
   // Workers of aShard that may still hold records.
-  std::vector<known_worker> Known(uint32_t aShard, instant aNow) const;
-  void NoteSeen(const peer_identity& aIdentity, instant aNow);
+  std::vector<known_worker> KnownWorkers(uint32_t aShard, instant aNow) const;
+  // Records that a worker is connected at present.
+  void AddSeenWorker(const peer_identity& aIdentity, instant aNow);
 
   // Sends the shards owned here to the other entries and, less often, the
   // addresses of entries to the guards.
@@ -364,17 +365,17 @@
   std::map<uint32_t, shard_row> mShards;
   // By token.
   std::unordered_map<uint64_t, request_row> mRequests;
-  std::unordered_map<uint64_t, served_row> mServed;
+  std::unordered_map<uint64_t, served_row> mServedRequests;
   std::unordered_map<caller_id, uint64_t> mTokenByCaller;
   uint64_t mNextToken = 1;
   uint64_t mRequestBytes = 0;
-  uint64_t mForwarded = 0;
+  uint64_t mForwardCount = 0;
 
   instant mNextStatus{};
   instant mNextGuardStatus{};
   instant mNextElection{};
-  instant mNextRow{};
-  instant mNextDial{};
+  instant mNextRowRenewal{};
+  instant mNextConnect{};
   instant mNextEntriesRead{};
   instant mNextRoute{};
   // Some request is pending, so requests are routed at the shorter interval.
@@ -383,9 +384,9 @@
   uint64_t mRowRequest = 0;
   uint64_t mEntriesRequest = 0;
   uint64_t mRostersRequest = 0;
-  bool mRostersTried = false; // a read was answered, if only by an error
-  bool mRostersRead = false;  // a read has succeeded
-  bool mTableDown = false;    // the last reply was Unavailable
+  bool mRostersAnswered = false; // a read was answered, if only by an error
+  bool mRostersRead = false;     // a read has succeeded
+  bool mTableDown = false;       // the last reply was Unavailable
   bool mDraining = false;
 };
 
--- a/cactusmast/entry_requests.cc
+++ b/cactusmast/entry_requests.cc
@@ -53,7 +53,7 @@
     row.mBytes += payload.size() + sizeof payload;
   }
   row.mSubmission = std::move(aSubmission);
-  row.mUntil = aNow + aWait;
+  row.mReplyDue = aNow + aWait;
   AddRequest(std::move(row), aNow);
 }
 
@@ -64,7 +64,7 @@
                   duration aWait,
                   instant aNow)
 {
-  Follow(request_kind::Watch, aCaller, aTeam, aId, aWait, aNow);
+  AddWatchOrCancel(request_kind::Watch, aCaller, aTeam, aId, aWait, aNow);
 }
 
 void
@@ -74,23 +74,23 @@
                    duration aWait,
                    instant aNow)
 {
-  Follow(request_kind::Cancel, aCaller, aTeam, aId, aWait, aNow);
+  AddWatchOrCancel(request_kind::Cancel, aCaller, aTeam, aId, aWait, aNow);
 }
 
 void
-entry_node::Follow(request_kind aKind,
-                   caller_id aCaller,
-                   const std::string& aTeam,
-                   const job_id& aId,
-                   duration aWait,
-                   instant aNow)
+entry_node::AddWatchOrCancel(request_kind aKind,
+                             caller_id aCaller,
+                             const std::string& aTeam,
+                             const job_id& aId,
+                             duration aWait,
+                             instant aNow)
 {
   request_row row;
   row.mCaller = aCaller;
   row.mKind = aKind;
   row.mTeam = aTeam;
   row.mId = aId;
-  row.mUntil = aNow + aWait;
+  row.mReplyDue = aNow + aWait;
   AddRequest(std::move(row), aNow);
 }
 
@@ -170,9 +170,9 @@
 entry_node::RouteLocally(uint64_t aToken, request_row& aRow, instant aNow)
 {
   aRow.mState = request_state::Local;
-  aRow.mEverSent = true;
+  aRow.mEverRouted = true;
   shard_owner& owner = *Shard(ShardOf(aRow.mId, ShardCount())).mOwner;
-  waiter waiting{ aToken, aRow.mUntil };
+  waiter waiting{ aToken, aRow.mReplyDue };
   switch (aRow.mKind) {
     case request_kind::Submit:
       // The owner holds the payloads from now on; StepDown returns them.
@@ -203,8 +203,8 @@
 {
   aRow.mState = request_state::Forwarded;
   aRow.mOwner = aOwner;
-  aRow.mEverSent = true;
-  mForwarded++;
+  aRow.mEverRouted = true;
+  mForwardCount++;
   wire::job_request_msg request;
   request.request_id = aToken;
   request.kind = uint8_t(aRow.mKind);
@@ -212,9 +212,9 @@
   request.job_hi = aRow.mId.mHi;
   request.job_lo = aRow.mId.mLo;
   request.shard = ShardOf(aRow.mId, ShardCount());
-  duration left = std::max(duration(0), aRow.mUntil - aNow);
+  duration remaining = std::max(duration(0), aRow.mReplyDue - aNow);
   request.wait_ms =
-    uint32_t(std::chrono::duration_cast<milliseconds>(left).count());
+    uint32_t(std::chrono::duration_cast<milliseconds>(remaining).count());
   if (aRow.mKind == request_kind::Submit) {
     request.key = aRow.mSubmission.mKey;
     request.profile = aRow.mSubmission.mProfile;
@@ -240,7 +240,7 @@
   }
   shard_owner& owner = *shard->second.mOwner;
   uint64_t token = mNextToken++;
-  mServed[token] = { aPeer, aRequest.request_id };
+  mServedRequests[token] = { aPeer, aRequest.request_id };
   waiter waiting{ token, aNow + milliseconds(aRequest.wait_ms) };
   job_id id{ aRequest.job_hi, aRequest.job_lo };
   if (aRequest.kind == uint8_t(request_kind::Watch)) {
@@ -251,14 +251,14 @@
     owner.Cancel(aRequest.team, id, waiting, aNow);
     return;
   }
-  submission passed;
-  passed.mId = id;
-  passed.mTeam = aRequest.team;
-  passed.mKey = aRequest.key;
-  passed.mProfile = aRequest.profile;
-  passed.mDeadline = milliseconds(aRequest.deadline_ms);
-  passed.mPayloads = aRequest.payloads;
-  owner.Submit(std::move(passed), waiting, aNow);
+  submission forwarded;
+  forwarded.mId = id;
+  forwarded.mTeam = aRequest.team;
+  forwarded.mKey = aRequest.key;
+  forwarded.mProfile = aRequest.profile;
+  forwarded.mDeadline = milliseconds(aRequest.deadline_ms);
+  forwarded.mPayloads = aRequest.payloads;
+  owner.Submit(std::move(forwarded), waiting, aNow);
 }
 
 void
@@ -282,11 +282,11 @@
 void
 entry_node::Answer(uint64_t aToken, wire::job_reply_msg aReply)
 {
-  auto served = mServed.find(aToken);
-  if (served != mServed.end()) {
+  auto served = mServedRequests.find(aToken);
+  if (served != mServedRequests.end()) {
     aReply.request_id = served->second.mRequest;
     peer_id peer = served->second.mPeer;
-    mServed.erase(served);
+    mServedRequests.erase(served);
     mNetwork.Send(peer, MakeMessage(std::move(aReply)));
     return;
   }
@@ -320,7 +320,7 @@
 entry_node::FailRequest(uint64_t aToken, const std::string& aText)
 {
   const request_row& row = mRequests.at(aToken);
-  run_state run = row.mEverSent ? run_state::Unknown : run_state::NotRun;
+  run_state run = row.mEverRouted ? run_state::Unknown : run_state::NotRun;
   failure error(error_code::Unavailable,
                 "route",
                 "shard " + std::to_string(ShardOf(row.mId, ShardCount())),
@@ -337,10 +337,10 @@
   std::vector<uint64_t> overdue;
   for (const auto& [token, row] : mRequests) {
     if (row.mState == request_state::Pending) {
-      bool late = aNow - row.mPendingSince >= mOptions.mRouteTimeout;
-      (late ? overdue : pending).push_back(token);
+      bool timedOut = aNow - row.mPendingSince >= mOptions.mRouteTimeout;
+      (timedOut ? overdue : pending).push_back(token);
     } else if (row.mState == request_state::Forwarded &&
-               aNow >= row.mUntil + kForwardGrace) {
+               aNow >= row.mReplyDue + kForwardGrace) {
       overdue.push_back(token);
     }
   }
