--- a/cactusmast/testing/profile_test.cc
+++ b/cactusmast/testing/profile_test.cc
@@ -14,35 +14,35 @@
 using std::chrono::seconds;
 
 // Returns a world in which aJobs jobs with one task each are scheduled for
-// submission, one per millisecond, under aProfile. The tasks run for aRun.
+// submission, one per millisecond, under aProfile. The tasks run for aRunTime.
 std::unique_ptr<world>
-RunUnder(profile aProfile, uint32_t aJobs, milliseconds aRun)
+PrepareJobs(profile aProfile, uint32_t aJobs, milliseconds aRunTime)
 {
   world_options options;
   options.mGuards = 1;
   options.mSlots = 8;
-  std::unique_ptr<world> made = PrepareWorld(options);
-  caller_request warm;
-  warm.mKey = "warm";
-  warm.mTasks = 50;
-  warm.mRun = milliseconds(20);
-  made->Submit(warm);
-  made->RunUntil(made->Now() + seconds(3));
+  std::unique_ptr<world> prepared = PrepareWorld(options);
+  caller_request warmUp;
+  warmUp.mKey = "warm";
+  warmUp.mTasks = 50;
+  warmUp.mRun = milliseconds(20);
+  prepared->Submit(warmUp);
+  prepared->RunUntil(prepared->Now() + seconds(3));
   aProfile.mName = "tested";
   aProfile.mService = "ordering";
   aProfile.mMaxWaitMs = 60000;
-  made->PutProfile(1, aProfile, 0);
-  made->RunUntil(made->Now() + seconds(2));
+  prepared->PutProfile(1, aProfile, 0);
+  prepared->RunUntil(prepared->Now() + seconds(2));
   for (uint32_t i = 0; i < aJobs; i++) {
     caller_request request;
     request.mKey = "job-" + std::to_string(i);
     request.mProfile = "tested";
-    request.mRun = aRun;
+    request.mRun = aRunTime;
     request.mPersistent = false;
-    made->At(made->Now() + milliseconds(i),
-             [&world = *made, request] { world.Submit(request); });
+    prepared->At(prepared->Now() + milliseconds(i),
+                 [&world = *prepared, request] { world.Submit(request); });
   }
-  return made;
+  return prepared;
 }
 
 uint64_t
@@ -54,11 +54,11 @@
 
 // The number of dispatch messages for eight jobs under aPreference.
 uint64_t
-MessagesFor(cost_preference aPreference)
+DispatchMessagesFor(cost_preference aPreference)
 {
   profile tested;
   tested.mPreference = aPreference;
-  std::unique_ptr<world> run = RunUnder(tested, 8, milliseconds(500));
+  std::unique_ptr<world> run = PrepareJobs(tested, 8, milliseconds(500));
   uint64_t before = DispatchMessages(*run);
   run->RunUntil(run->Now() + seconds(2));
   for (uint32_t i = 0; i < 8; i++) {
@@ -70,9 +70,9 @@
 // The number of tasks that run 300 ms after the submission of eight tasks that
 // run for a second each.
 uint32_t
-RunningUnder(const profile& aProfile)
+RunningTasksUnder(const profile& aProfile)
 {
-  std::unique_ptr<world> run = RunUnder(aProfile, 8, seconds(1));
+  std::unique_ptr<world> run = PrepareJobs(aProfile, 8, seconds(1));
   run->RunUntil(run->Now() + milliseconds(300));
   return run->Guard(1)->Running();
 }
@@ -81,29 +81,29 @@
 
 TEST_CASE("preference messages batches tasks in fewer dispatch messages")
 {
-  uint64_t prompt = MessagesFor(cost_preference::ResponseTime);
-  uint64_t thrifty = MessagesFor(cost_preference::Messages);
-  CHECK(prompt == 8);
-  CHECK(thrifty <= 4);
+  uint64_t unbatched = DispatchMessagesFor(cost_preference::ResponseTime);
+  uint64_t batched = DispatchMessagesFor(cost_preference::Messages);
+  CHECK(unbatched == 8);
+  CHECK(batched <= 4);
 }
 
 TEST_CASE("worker_concurrency and concurrency limit the tasks that run at once")
 {
-  profile free;
-  CHECK(RunningUnder(free) == 8);
+  profile unlimited;
+  CHECK(RunningTasksUnder(unlimited) == 8);
   profile perWorker;
   perWorker.mWorkerConcurrency = 3;
-  CHECK(RunningUnder(perWorker) == 3);
+  CHECK(RunningTasksUnder(perWorker) == 3);
   profile perShard;
   perShard.mConcurrency = 2;
-  CHECK(RunningUnder(perShard) == 2);
+  CHECK(RunningTasksUnder(perShard) == 2);
 }
 
 TEST_CASE("a task that runs longer than task_timeout_ms is cancelled")
 {
-  profile hasty;
-  hasty.mTaskTimeoutMs = 200;
-  std::unique_ptr<world> run = RunUnder(hasty, 1, seconds(5));
+  profile shortTimeout;
+  shortTimeout.mTaskTimeoutMs = 200;
+  std::unique_ptr<world> run = PrepareJobs(shortTimeout, 1, seconds(5));
   run->RunUntil(run->Now() + seconds(1));
   CHECK(run->Answers("job-0") == std::vector<std::string>{ "failed" });
 }
@@ -115,20 +115,20 @@
   traits.mCpus = 32;
   traits.mMemoryMb = 1000;
   traits.mAccelerators = 2;
-  profile needs;
-  needs.mService = "ordering";
-  needs.mCpus = 32;
-  needs.mMemoryMb = 1000;
-  needs.mAccelerators = 2;
-  CHECK(dispatcher::Fits(traits, needs));
+  profile required;
+  required.mService = "ordering";
+  required.mCpus = 32;
+  required.mMemoryMb = 1000;
+  required.mAccelerators = 2;
+  CHECK(dispatcher::Fits(traits, required));
   for (uint32_t profile::*field :
        { &profile::mCpus, &profile::mMemoryMb, &profile::mAccelerators }) {
-    profile more = needs;
+    profile more = required;
     (more.*field)++;
     CHECK(!dispatcher::Fits(traits, more));
   }
-  needs.mService = "dispatch";
-  CHECK(!dispatcher::Fits(traits, needs));
+  required.mService = "dispatch";
+  CHECK(!dispatcher::Fits(traits, required));
 }
 
 } // namespace cactusmast::testing
--- a/cactusmast/testing/scenario.cc
+++ b/cactusmast/testing/scenario.cc
@@ -42,19 +42,21 @@
   return aNode[aKey] ? ReadTime(aNode[aKey]) : aDefault;
 }
 
-class runner
+class scenario_runner
 {
 public:
-  runner(const YAML::Node& aScenario, const scenario_safeguards& aSafeguards)
+  scenario_runner(const YAML::Node& aScenario,
+                  const scenario_safeguards& aSafeguards)
     : mScenario(aScenario)
   {
-    YAML::Node made = mScenario["world"];
-    mOptions.mSeed = Get<uint64_t>(made, "seed", 1);
-    mOptions.mEntries = Get<uint32_t>(made, "entries", 2);
-    mOptions.mGuards = Get<uint32_t>(made, "guards", 3);
-    mOptions.mShards = Get<uint32_t>(made, "shards", 1);
-    mOptions.mSlots = Get<uint32_t>(made, "slots", 4);
-    mOptions.mRetention = GetTime(made, "retention", std::chrono::minutes(5));
+    YAML::Node worldNode = mScenario["world"];
+    mOptions.mSeed = Get<uint64_t>(worldNode, "seed", 1);
+    mOptions.mEntries = Get<uint32_t>(worldNode, "entries", 2);
+    mOptions.mGuards = Get<uint32_t>(worldNode, "guards", 3);
+    mOptions.mShards = Get<uint32_t>(worldNode, "shards", 1);
+    mOptions.mSlots = Get<uint32_t>(worldNode, "slots", 4);
+    mOptions.mRetention =
+      GetTime(worldNode, "retention", std::chrono::minutes(5));
     mOptions.mEntrySafeguards = aSafeguards.mEntry;
     mOptions.mGuardSafeguards = aSafeguards.mGuard;
     mOptions.mHealth = aSafeguards.mHealth;
@@ -63,26 +65,26 @@
   std::vector<std::string> Run()
   {
     mWorld = PrepareWorld(mOptions);
-    mZero = mWorld->Now();
+    mStart = mWorld->Now();
     for (const YAML::Node& step : mScenario["steps"]) {
       duration at = ReadTime(step["at"]);
       uint32_t times = Get<uint32_t>(step, "times", 1);
       duration every = GetTime(step, "every", duration(0));
       for (uint32_t i = 0; i < times; i++) {
-        mWorld->At(mZero + at + every * i, [this, step, i, times] {
-          Do(step, times > 1 ? "-" + std::to_string(i + 1) : "");
+        mWorld->At(mStart + at + every * i, [this, step, i, times] {
+          RunStep(step, times > 1 ? "-" + std::to_string(i + 1) : "");
         });
       }
     }
-    mWorld->RunUntil(mZero + ReadTime(mScenario["until"]));
+    mWorld->RunUntil(mStart + ReadTime(mScenario["until"]));
     check_options options;
     options.mAllAnswered = Get<bool>(mScenario, "all_answered", true);
     options.mConfigDeadline = Get<bool>(mScenario, "config_deadline", true);
-    for (const violation& broken : Check(mWorld->History(), options)) {
-      mFailures.push_back(Name(broken.mPromise) + ": " + broken.mText);
+    for (const violation& violated : Check(mWorld->History(), options)) {
+      mFailures.push_back(Name(violated.mPromise) + ": " + violated.mText);
     }
-    for (const YAML::Node& wanted : mScenario["expect"]) {
-      Expect(wanted);
+    for (const YAML::Node& expected : mScenario["expect"]) {
+      Expect(expected);
     }
     return mFailures;
   }
@@ -122,31 +124,31 @@
   }
 
   // Executes one step.
-  void Do(const YAML::Node& aStep, const std::string& aSuffix)
+  void RunStep(const YAML::Node& aStep, const std::string& aSuffix)
   {
-    auto what = aStep["do"].as<std::string>();
-    if (what == "submit") {
+    auto action = aStep["do"].as<std::string>();
+    if (action == "submit") {
       Submit(aStep, aSuffix);
-    } else if (what == "cancel") {
+    } else if (action == "cancel") {
       mWorld->Cancel(aStep["key"].as<std::string>() + aSuffix,
                      EntryNumber(aStep));
-    } else if (what == "profile") {
+    } else if (action == "profile") {
       PutProfile(aStep);
-    } else if (what == "table") {
+    } else if (action == "table") {
       table_faults faults;
       faults.mDown = Get<bool>(aStep, "down", false);
       faults.mLoseReply = Get<double>(aStep, "lose_reply", 0);
       faults.mExtraDelay = GetTime(aStep, "slow", duration(0));
       mWorld->SetTable(faults);
-    } else if (what == "push_old_config") {
+    } else if (action == "push_old_config") {
       mWorld->PushOldConfig(Get<uint64_t>(aStep, "version", 1));
-    } else if (what == "silence" || what == "block" || what == "unblock" ||
-               what == "delay") {
-      Link(what, aStep);
+    } else if (action == "silence" || action == "block" ||
+               action == "unblock" || action == "delay") {
+      RunLinkStep(action, aStep);
     } else if (aStep["guard"]) {
-      Backend(what, aStep);
+      RunBackendStep(action, aStep);
     } else {
-      Process(what, aStep);
+      RunProcessStep(action, aStep);
     }
   }
 
@@ -186,7 +188,7 @@
   }
 
   // Executes a step that changes a link between two processes.
-  void Link(const std::string& aWhat, const YAML::Node& aStep)
+  void RunLinkStep(const std::string& aAction, const YAML::Node& aStep)
   {
     std::string from = Resolve(aStep["from"].as<std::string>());
     std::string to = Resolve(aStep["to"].as<std::string>());
@@ -194,15 +196,15 @@
       from = mLastOwner;
     }
     bool both = Get<bool>(aStep, "both", false);
-    auto apply = [&](const std::string& aOne, const std::string& aTwo) {
-      if (aWhat == "silence") {
-        mWorld->Silence(aOne, aTwo);
-      } else if (aWhat == "block") {
-        mWorld->Block(aOne, aTwo);
-      } else if (aWhat == "unblock") {
-        mWorld->Unblock(aOne, aTwo);
+    auto apply = [&](const std::string& aFrom, const std::string& aTo) {
+      if (aAction == "silence") {
+        mWorld->Silence(aFrom, aTo);
+      } else if (aAction == "block") {
+        mWorld->Block(aFrom, aTo);
+      } else if (aAction == "unblock") {
+        mWorld->Unblock(aFrom, aTo);
       } else {
-        mWorld->Delay(aOne, aTwo, ReadTime(aStep["by"]));
+        mWorld->Delay(aFrom, aTo, ReadTime(aStep["by"]));
       }
     };
     apply(from, to);
@@ -212,27 +214,27 @@
   }
 
   // Executes a step on the backend server of a guard.
-  void Backend(const std::string& aWhat, const YAML::Node& aStep)
+  void RunBackendStep(const std::string& aAction, const YAML::Node& aStep)
   {
     auto guard = aStep["guard"].as<uint32_t>();
-    if (aWhat == "withdraw") {
+    if (aAction == "withdraw") {
       mWorld->WithdrawBackend(guard);
-    } else if (aWhat == "announce") {
+    } else if (aAction == "announce") {
       mWorld->AnnounceBackend(guard);
-    } else if (aWhat == "kill_backend") {
+    } else if (aAction == "kill_backend") {
       mWorld->KillBackend(guard);
-    } else if (aWhat == "accelerators") {
+    } else if (aAction == "accelerators") {
       mWorld->SetAccelerators(guard, Get<uint32_t>(aStep, "count", 1));
-    } else if (aWhat == "backend") {
+    } else if (aAction == "backend") {
       mWorld->SetBackend(
         guard, Get<double>(aStep, "speed", 1), Get<double>(aStep, "fail", 0));
     } else {
-      throw std::runtime_error("unknown step " + aWhat);
+      throw std::runtime_error("unknown step " + aAction);
     }
   }
 
   // Executes a step on a process.
-  void Process(const std::string& aWhat, const YAML::Node& aStep)
+  void RunProcessStep(const std::string& aAction, const YAML::Node& aStep)
   {
     std::string name = Get<bool>(aStep, "last_owner", false)
                          ? mLastOwner
@@ -243,74 +245,74 @@
         { "restart", &world::Restart }, { "pause", &world::Pause },
         { "resume", &world::Resume },   { "drain", &world::Drain }
       };
-    auto found = kSteps.find(aWhat);
+    auto found = kSteps.find(aAction);
     if (found == kSteps.end()) {
-      throw std::runtime_error("unknown step " + aWhat);
+      throw std::runtime_error("unknown step " + aAction);
     }
     (*mWorld.*found->second)(name);
   }
 
-  void Fail(const std::string& aText) { mFailures.push_back(aText); }
+  void AddFailure(const std::string& aText) { mFailures.push_back(aText); }
 
   // Checks one expectation.
-  void Expect(const YAML::Node& aWanted)
+  void Expect(const YAML::Node& aExpected)
   {
-    if (aWanted["key"]) {
-      uint32_t times = Get<uint32_t>(aWanted, "times", 1);
+    if (aExpected["key"]) {
+      uint32_t times = Get<uint32_t>(aExpected, "times", 1);
       for (uint32_t i = 0; i < times; i++) {
-        ExpectKey(aWanted,
-                  aWanted["key"].as<std::string>() +
+        ExpectKey(aExpected,
+                  aExpected["key"].as<std::string>() +
                     (times > 1 ? "-" + std::to_string(i + 1) : ""));
       }
     }
-    if (aWanted["changes"]) {
-      ExpectChanges(aWanted["changes"].as<std::vector<std::string>>());
+    if (aExpected["changes"]) {
+      ExpectChanges(aExpected["changes"].as<std::vector<std::string>>());
     }
-    if (aWanted["version"]) {
-      auto version = aWanted["version"].as<uint64_t>();
-      auto number = Get<uint32_t>(aWanted, "entry", 1);
+    if (aExpected["version"]) {
+      auto version = aExpected["version"].as<uint64_t>();
+      auto number = Get<uint32_t>(aExpected, "entry", 1);
       uint64_t actual = mWorld->Entry(number)->Config().InForce().mVersion;
       if (actual != version) {
-        Fail("version " + std::to_string(actual) + " is in force");
+        AddFailure("version " + std::to_string(actual) + " is in force");
       }
     }
-    if (aWanted["backend"]) {
-      auto guard = aWanted["backend"].as<uint32_t>();
-      uint64_t most = Get<uint64_t>(aWanted, "at_most", UINT64_MAX);
-      uint64_t least = Get<uint64_t>(aWanted, "at_least", 0);
+    if (aExpected["backend"]) {
+      auto guard = aExpected["backend"].as<uint32_t>();
+      uint64_t maxStarts = Get<uint64_t>(aExpected, "at_most", UINT64_MAX);
+      uint64_t minStarts = Get<uint64_t>(aExpected, "at_least", 0);
       uint64_t starts = mWorld->StartsAt(guard);
-      if (starts > most || starts < least) {
-        Fail("tasks started by backend " + std::to_string(guard) + ": " +
-             std::to_string(starts));
+      if (starts > maxStarts || starts < minStarts) {
+        AddFailure("tasks started by backend " + std::to_string(guard) + ": " +
+                   std::to_string(starts));
       }
     }
   }
 
-  void ExpectKey(const YAML::Node& aWanted, const std::string& aKey)
+  void ExpectKey(const YAML::Node& aExpected, const std::string& aKey)
   {
     std::vector<std::string> answers = mWorld->Answers(aKey);
-    std::string all;
+    std::string allAnswers;
     for (const std::string& answer : answers) {
-      all += " " + answer;
+      allAnswers += " " + answer;
     }
-    if (aWanted["answer"]) {
-      auto wanted = aWanted["answer"].as<std::string>();
-      if (answers.empty() || answers.back() != wanted) {
-        Fail(aKey + " ended with" + all + ", not " + wanted);
+    if (aExpected["answer"]) {
+      auto expected = aExpected["answer"].as<std::string>();
+      if (answers.empty() || answers.back() != expected) {
+        AddFailure(aKey + " ended with" + allAnswers + ", not " + expected);
       }
     }
-    if (aWanted["first"]) {
-      auto wanted = aWanted["first"].as<std::string>();
-      if (answers.empty() || answers.front() != wanted) {
-        Fail(aKey + " began with" + all + ", not " + wanted);
+    if (aExpected["first"]) {
+      auto expected = aExpected["first"].as<std::string>();
+      if (answers.empty() || answers.front() != expected) {
+        AddFailure(aKey + " began with" + allAnswers + ", not " + expected);
       }
     }
     uint32_t starts = mWorld->Starts(aKey);
-    if (aWanted["starts"] && starts != aWanted["starts"].as<uint32_t>()) {
-      Fail(aKey + ": tasks started: " + std::to_string(starts));
+    if (aExpected["starts"] && starts != aExpected["starts"].as<uint32_t>()) {
+      AddFailure(aKey + ": tasks started: " + std::to_string(starts));
     }
-    if (aWanted["within"]) {
-      ExpectWithin(aKey, ReadTime(aWanted["within"]));
+    if (aExpected["within"]) {
+      ExpectWithin(aKey, ReadTime(aExpected["within"]));
     }
   }
 
@@ -331,12 +333,12 @@
       }
     }
     if (last - first > aLimit) {
-      Fail(aKey + " took " + std::to_string((last - first).count() / 1000) +
-           " ms");
+      AddFailure(aKey + " took " +
+                 std::to_string((last - first).count() / 1000) + " ms");
     }
   }
 
-  void ExpectChanges(const std::vector<std::string>& aWanted)
+  void ExpectChanges(const std::vector<std::string>& aExpected)
   {
     std::vector<std::string> actual;
     for (const change_outcome& change : mWorld->Changes()) {
@@ -346,19 +348,19 @@
     // The first changes are those by PrepareWorld.
     actual.erase(actual.begin(),
                  actual.begin() + long(ScenarioProfiles().size()));
-    if (actual != aWanted) {
-      std::string all;
-      for (const std::string& one : actual) {
-        all += " " + one;
+    if (actual != aExpected) {
+      std::string outcomes;
+      for (const std::string& outcome : actual) {
+        outcomes += " " + outcome;
       }
-      Fail("changes ended with" + all);
+      AddFailure("changes ended with" + outcomes);
     }
   }
 
   YAML::Node mScenario;
   world_options mOptions;
   std::unique_ptr<world> mWorld;
-  instant mZero{};
+  instant mStart{};
   std::string mLastOwner;
   std::vector<std::string> mFailures;
 };
@@ -375,24 +377,24 @@
   profile confirm = quote;
   confirm.mName = "confirm-cut";
   confirm.mIdempotent = false;
-  profile door = quote;
-  door.mName = "door-check";
-  door.mPriority = 9;
-  door.mDeadlineMs = 5000;
-  return { quote, confirm, door };
+  profile doorCheck = quote;
+  doorCheck.mName = "door-check";
+  doorCheck.mPriority = 9;
+  doorCheck.mDeadlineMs = 5000;
+  return { quote, confirm, doorCheck };
 }
 
 std::unique_ptr<world>
 PrepareWorld(const world_options& aOptions)
 {
-  auto made = std::make_unique<world>(aOptions);
-  made->RunUntil(made->Now() + seconds(3));
-  for (const profile& one : ScenarioProfiles()) {
-    made->PutProfile(1, one, 0);
-    made->RunUntil(made->Now() + milliseconds(100));
+  auto prepared = std::make_unique<world>(aOptions);
+  prepared->RunUntil(prepared->Now() + seconds(3));
+  for (const profile& added : ScenarioProfiles()) {
+    prepared->PutProfile(1, added, 0);
+    prepared->RunUntil(prepared->Now() + milliseconds(100));
   }
-  made->RunUntil(made->Now() + seconds(3));
-  return made;
+  prepared->RunUntil(prepared->Now() + seconds(3));
+  return prepared;
 }
 
 std::string
@@ -411,7 +413,7 @@
 std::vector<std::string>
 RunScenario(const std::string& aPath, const scenario_safeguards& aSafeguards)
 {
-  return runner(YAML::LoadFile(aPath), aSafeguards).Run();
+  return scenario_runner(YAML::LoadFile(aPath), aSafeguards).Run();
 }
 
 } // namespace cactusmast::testing
--- a/cactusmast/testing/scenario_test.cc
+++ b/cactusmast/testing/scenario_test.cc
@@ -34,44 +34,46 @@
 const std::vector<mutant>&
 Mutants()
 {
-  using s = scenario_safeguards;
+  using safeguards = scenario_safeguards;
   static const std::vector<mutant> kMutants = {
     { "guard closes links after a pause",
       "guard_paused_past_deadline",
-      [](s& aSet) { aSet.mGuard.mDropLinksAfterPause = false; } },
+      [](safeguards& aSet) { aSet.mGuard.mDropLinksAfterPause = false; } },
     { "guard refuses older configurations",
       "old_configuration_returns",
-      [](s& aSet) { aSet.mGuard.mMonotonicConfig = false; } },
+      [](safeguards& aSet) { aSet.mGuard.mMonotonicConfig = false; } },
     { "owner waits for records",
       "owner_killed_guard_paused",
-      [](s& aSet) { aSet.mEntry.mOwner.mWaitForRecords = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mOwner.mWaitForRecords = false; } },
     { "owner uses records",
       "owner_killed",
-      [](s& aSet) { aSet.mEntry.mOwner.mUseRecords = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mOwner.mUseRecords = false; } },
     { "owner deduplicates jobs",
       "resubmitted",
-      [](s& aSet) { aSet.mEntry.mOwner.mDeduplicateJobs = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mOwner.mDeduplicateJobs = false; } },
     { "owner resolves dispatches in doubt before a retry",
       "lost_dispatch",
-      [](s& aSet) { aSet.mEntry.mOwner.mSettleBeforeRetry = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mOwner.mSettleBeforeRetry = false; } },
     { "owner steps down when superseded",
       "owner_superseded_while_paused",
-      [](s& aSet) { aSet.mEntry.mOwner.mStepDownWhenSuperseded = false; } },
+      [](safeguards& aSet) {
+        aSet.mEntry.mOwner.mStepDownWhenSuperseded = false;
+      } },
     { "owner records abandoned tasks at guards",
       "cancelled_then_owner_lost",
-      [](s& aSet) { aSet.mEntry.mOwner.mRecordAbandoned = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mOwner.mRecordAbandoned = false; } },
     { "changes of an outdated revision are refused",
       "operators_race",
-      [](s& aSet) { aSet.mEntry.mConfig.mCompareRevision = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mConfig.mCompareRevision = false; } },
     { "changes are read back after a lost reply",
       "table_loses_replies",
-      [](s& aSet) { aSet.mEntry.mConfig.mReadBack = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mConfig.mReadBack = false; } },
     { "entries refuse older configurations",
       "old_configuration_returns",
-      [](s& aSet) { aSet.mEntry.mConfig.mMonotonicVersion = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mConfig.mMonotonicVersion = false; } },
     { "failing workers are quarantined",
       "failing_worker",
-      [](s& aSet) { aSet.mHealth.mEnabled = false; } },
+      [](safeguards& aSet) { aSet.mHealth.mEnabled = false; } },
   };
   return kMutants;
 }
@@ -100,14 +102,14 @@
 
 TEST_CASE("every safeguard is needed: its scenario fails without it")
 {
-  for (const mutant& one : Mutants()) {
-    scenario_safeguards without;
-    one.mSwitchOff(without);
-    std::string file = std::string("scenarios/") + one.mScenario + ".yaml";
-    CHECK_MESSAGE(!RunScenario(file, without).empty(),
+  for (const mutant& tested : Mutants()) {
+    scenario_safeguards reduced;
+    tested.mSwitchOff(reduced);
+    std::string file = std::string("scenarios/") + tested.mScenario + ".yaml";
+    CHECK_MESSAGE(!RunScenario(file, reduced).empty(),
                   file,
                   " passes without: ",
-                  std::string(one.mName));
+                  std::string(tested.mName));
   }
 }
 
