--- a/cactusmast/entry_requests.cc
+++ b/cactusmast/entry_requests.cc
@@ -1,4 +1,5 @@
-// Callers' requests at an entry, and how each finds the owner of its shard.
+// The request part of entry_node: callers' requests and their routing to the
+// owners of shards.
 
 #include "cactusmast/entry_node.h"
 
@@ -12,10 +13,12 @@
 
 using std::chrono::milliseconds;
 
-// A forwarded request's answer is due at its end; after this much more it is
-// given up.
+// A forwarded request fails if no reply has arrived this long after the reply
+// was due.
 constexpr std::chrono::seconds kForwardGrace{ 2 };
 
+// Whether the sender of aReply does not own the shard, so that the request has
+// to be routed again.
 bool
 IsRouteReply(const wire::job_reply_msg& aReply)
 {
@@ -23,6 +26,7 @@
          aReply.step == kRouteStep;
 }
 
+// The reply for which IsRouteReply is true.
 wire::job_reply_msg
 RouteReply()
 {
@@ -49,7 +53,7 @@
     row.mBytes += payload.size() + sizeof payload;
   }
   row.mSubmission = std::move(aSubmission);
-  row.mUntil = aNow + aWait;
+  row.mReplyDue = aNow + aWait;
   AddRequest(std::move(row), aNow);
 }
 
@@ -60,7 +64,7 @@
                   duration aWait,
                   instant aNow)
 {
-  Follow(request_kind::Watch, aCaller, aTeam, aId, aWait, aNow);
+  AddWatchOrCancel(request_kind::Watch, aCaller, aTeam, aId, aWait, aNow);
 }
 
 void
@@ -70,23 +74,23 @@
                    duration aWait,
                    instant aNow)
 {
-  Follow(request_kind::Cancel, aCaller, aTeam, aId, aWait, aNow);
+  AddWatchOrCancel(request_kind::Cancel, aCaller, aTeam, aId, aWait, aNow);
 }
 
 void
-entry_node::Follow(request_kind aKind,
-                   caller_id aCaller,
-                   const std::string& aTeam,
-                   const job_id& aId,
-                   duration aWait,
-                   instant aNow)
+entry_node::AddWatchOrCancel(request_kind aKind,
+                             caller_id aCaller,
+                             const std::string& aTeam,
+                             const job_id& aId,
+                             duration aWait,
+                             instant aNow)
 {
   request_row row;
   row.mCaller = aCaller;
   row.mKind = aKind;
   row.mTeam = aTeam;
   row.mId = aId;
-  row.mUntil = aNow + aWait;
+  row.mReplyDue = aNow + aWait;
   AddRequest(std::move(row), aNow);
 }
 
@@ -104,7 +108,8 @@
     mCallers.Reply(aRow.mCaller, ErrorReply(error));
   };
   if (mDraining) {
-    refuse(error_code::Draining, "this entry is stopping; ask another one");
+    refuse(error_code::Draining,
+           "this entry is draining; retry at another entry");
     return;
   }
   if (mRequests.size() >= mOptions.mMaxRequests ||
@@ -114,7 +119,7 @@
     return;
   }
   if (!mConfig.Loaded()) {
-    refuse(error_code::Unavailable, "no configuration is known yet");
+    refuse(error_code::Unavailable, "no configuration has been read yet");
     return;
   }
   uint64_t token = mNextToken++;
@@ -165,12 +170,12 @@
 entry_node::RouteLocally(uint64_t aToken, request_row& aRow, instant aNow)
 {
   aRow.mState = request_state::Local;
-  aRow.mEverSent = true;
+  aRow.mEverRouted = true;
   shard_owner& owner = *Shard(ShardOf(aRow.mId, ShardCount())).mOwner;
-  waiter waiting{ aToken, aRow.mUntil };
+  waiter waiting{ aToken, aRow.mReplyDue };
   switch (aRow.mKind) {
     case request_kind::Submit:
-      // The owner holds the payloads from here on; StepDown gives them back.
+      // The owner holds the payloads from now on; StepDown returns them.
       owner.Submit(std::move(aRow.mSubmission), waiting, aNow);
       break;
     case request_kind::Watch: {
@@ -198,8 +203,8 @@
 {
   aRow.mState = request_state::Forwarded;
   aRow.mOwner = aOwner;
-  aRow.mEverSent = true;
-  mForwarded++;
+  aRow.mEverRouted = true;
+  mForwardCount++;
   wire::job_request_msg request;
   request.request_id = aToken;
   request.kind = uint8_t(aRow.mKind);
@@ -207,9 +212,9 @@
   request.job_hi = aRow.mId.mHi;
   request.job_lo = aRow.mId.mLo;
   request.shard = ShardOf(aRow.mId, ShardCount());
-  duration left = std::max(duration(0), aRow.mUntil - aNow);
+  duration remaining = std::max(duration(0), aRow.mReplyDue - aNow);
   request.wait_ms =
-    uint32_t(std::chrono::duration_cast<milliseconds>(left).count());
+    uint32_t(std::chrono::duration_cast<milliseconds>(remaining).count());
   if (aRow.mKind == request_kind::Submit) {
     request.key = aRow.mSubmission.mKey;
     request.profile = aRow.mSubmission.mProfile;
@@ -235,7 +240,7 @@
   }
   shard_owner& owner = *shard->second.mOwner;
   uint64_t token = mNextToken++;
-  mServed[token] = { aPeer, aRequest.request_id };
+  mServedRequests[token] = { aPeer, aRequest.request_id };
   waiter waiting{ token, aNow + milliseconds(aRequest.wait_ms) };
   job_id id{ aRequest.job_hi, aRequest.job_lo };
   if (aRequest.kind == uint8_t(request_kind::Watch)) {
@@ -246,14 +251,14 @@
     owner.Cancel(aRequest.team, id, waiting, aNow);
     return;
   }
-  submission passed;
-  passed.mId = id;
-  passed.mTeam = aRequest.team;
-  passed.mKey = aRequest.key;
-  passed.mProfile = aRequest.profile;
-  passed.mDeadline = milliseconds(aRequest.deadline_ms);
-  passed.mPayloads = aRequest.payloads;
-  owner.Submit(std::move(passed), waiting, aNow);
+  submission forwarded;
+  forwarded.mId = id;
+  forwarded.mTeam = aRequest.team;
+  forwarded.mKey = aRequest.key;
+  forwarded.mProfile = aRequest.profile;
+  forwarded.mDeadline = milliseconds(aRequest.deadline_ms);
+  forwarded.mPayloads = aRequest.payloads;
+  owner.Submit(std::move(forwarded), waiting, aNow);
 }
 
 void
@@ -262,7 +267,7 @@
   auto found = mRequests.find(aReply.request_id);
   if (found == mRequests.end() ||
       found->second.mState != request_state::Forwarded) {
-    return; // answered already, through another owner
+    return; // already answered by another owner
   }
   if (IsRouteReply(aReply)) {
     found->second.mState = request_state::Pending;
@@ -277,11 +282,11 @@
 void
 entry_node::Answer(uint64_t aToken, wire::job_reply_msg aReply)
 {
-  auto served = mServed.find(aToken);
-  if (served != mServed.end()) {
+  auto served = mServedRequests.find(aToken);
+  if (served != mServedRequests.end()) {
     aReply.request_id = served->second.mRequest;
     peer_id peer = served->second.mPeer;
-    mServed.erase(served);
+    mServedRequests.erase(served);
     mNetwork.Send(peer, MakeMessage(std::move(aReply)));
     return;
   }
@@ -315,7 +320,7 @@
 entry_node::FailRequest(uint64_t aToken, const std::string& aText)
 {
   const request_row& row = mRequests.at(aToken);
-  run_state run = row.mEverSent ? run_state::Unknown : run_state::NotRun;
+  run_state run = row.mEverRouted ? run_state::Unknown : run_state::NotRun;
   failure error(error_code::Unavailable,
                 "route",
                 "shard " + std::to_string(ShardOf(row.mId, ShardCount())),
@@ -332,18 +337,18 @@
   std::vector<uint64_t> overdue;
   for (const auto& [token, row] : mRequests) {
     if (row.mState == request_state::Pending) {
-      bool late = aNow - row.mPendingSince >= mOptions.mRouteTimeout;
-      (late ? overdue : pending).push_back(token);
+      bool timedOut = aNow - row.mPendingSince >= mOptions.mRouteTimeout;
+      (timedOut ? overdue : pending).push_back(token);
     } else if (row.mState == request_state::Forwarded &&
-               aNow >= row.mUntil + kForwardGrace) {
+               aNow >= row.mReplyDue + kForwardGrace) {
       overdue.push_back(token);
     }
   }
   for (uint64_t token : overdue) {
-    FailRequest(token, "no entry owns the job's shard at present");
+    FailRequest(token, "no owner of the job's shard is known");
   }
   mSomePending = !pending.empty();
-  // Submissions first: a watch of the same job must find it.
+  // In order of arrival, because a watch must follow the submission of its job.
   std::sort(pending.begin(), pending.end());
   for (uint64_t token : pending) {
     Route(token, aNow);
--- a/cactusmast/settings_reader.h
+++ b/cactusmast/settings_reader.h
@@ -1,6 +1,6 @@
-// Reads a YAML mapping strictly: a key that nothing asked for, a wrong type or
-// a value out of range is refused with the file, the line, the key and what is
-// allowed. Shared by the settings files of all programs.
+// Strict reader of a YAML mapping: an unknown key, a wrong type or a value out
+// of range is an error that names the file, the line, the key and the allowed
+// values. Shared by the settings files of all programs.
 
 #ifndef CACTUSMAST_SETTINGS_READER_H_
 #define CACTUSMAST_SETTINGS_READER_H_
@@ -19,8 +19,9 @@
 namespace cactusmast {
 namespace detail {
 
-// Reads one mapping key by key and, at the end, refuses the keys that nothing
-// asked for.
+// Reads one mapping key by key; Finish then refuses the keys that were not
+// read. Each method that reads a key throws failure(BadRequest) if the value is
+// not valid, and leaves *aOut unchanged if an optional key is absent.
 class settings_reader
 {
 public:
@@ -29,13 +30,13 @@
     , mFile(std::move(aFile))
   {
     if (!mNode.IsMap()) {
-      throw Bad(mNode, "", "the settings must be a mapping");
+      throw ErrorAt(mNode, "", "the settings must be a mapping");
     }
-    std::set<std::string> seen;
-    for (const auto& entry : mNode) {
-      auto key = entry.first.as<std::string>();
-      if (!seen.insert(key).second) {
-        throw Bad(entry.first, key, "stands twice");
+    std::set<std::string> keys;
+    for (const auto& item : mNode) {
+      auto key = item.first.as<std::string>();
+      if (!keys.insert(key).second) {
+        throw ErrorAt(item.first, key, "is duplicated");
       }
     }
   }
@@ -47,11 +48,12 @@
       return;
     }
     if (!value.IsScalar() || value.Scalar().empty()) {
-      throw Bad(value, aKey, "must be text");
+      throw ErrorAt(value, aKey, "must be text");
     }
     *aOut = value.Scalar();
   }
 
+  // An address as IP:PORT.
   void Address(const std::string& aKey, bool aRequired, std::string* aOut)
   {
     Text(aKey, aRequired, aOut);
@@ -60,14 +62,16 @@
     }
   }
 
+  // A list of addresses as IP:PORT; empty if the key is absent.
   void Addresses(const std::string& aKey, std::vector<std::string>* aOut)
   {
-    for (const YAML::Node& item : List(aKey, "must be a list of HOST:PORT")) {
+    for (const YAML::Node& item : List(aKey, "must be a list of IP:PORT")) {
       CheckAddress(item, aKey, item.Scalar());
       aOut->push_back(item.Scalar());
     }
   }
 
+  // A list of scalars; empty if the key is absent.
   void Names(const std::string& aKey, std::vector<std::string>* aOut)
   {
     for (const YAML::Node& item : List(aKey, "must be a list of names")) {
@@ -75,6 +79,7 @@
     }
   }
 
+  // An optional whole number from aMin to aMax.
   void Number(const std::string& aKey,
               uint32_t aMin,
               uint32_t aMax,
@@ -89,11 +94,12 @@
     int64_t number = 0;
     if (!value.IsScalar() || !YAML::convert<int64_t>::decode(value, number) ||
         number < int64_t(aMin) || number > int64_t(aMax)) {
-      throw Bad(value, aKey, range);
+      throw ErrorAt(value, aKey, range);
     }
     *aOut = uint32_t(number);
   }
 
+  // An optional mapping of names to bearer tokens.
   void Tokens(const std::string& aKey, std::map<std::string, std::string>* aOut)
   {
     YAML::Node value = Find(aKey, false);
@@ -101,31 +107,32 @@
       return;
     }
     if (!value.IsMap()) {
-      throw Bad(value, aKey, "must map names to tokens");
-    }
-    constexpr size_t kMinToken = 16;
-    for (const auto& entry : value) {
-      if (!entry.second.IsScalar() ||
-          entry.second.Scalar().size() < kMinToken) {
-        throw Bad(
-          entry.second, aKey, "tokens must have at least 16 characters");
+      throw ErrorAt(value, aKey, "must map names to tokens");
+    }
+    constexpr size_t kMinTokenLength = 16;
+    for (const auto& item : value) {
+      if (!item.second.IsScalar() ||
+          item.second.Scalar().size() < kMinTokenLength) {
+        throw ErrorAt(
+          item.second, aKey, "tokens must have at least 16 characters");
       }
-      (*aOut)[entry.first.as<std::string>()] = entry.second.Scalar();
+      (*aOut)[item.first.as<std::string>()] = item.second.Scalar();
     }
   }
 
+  // Throws failure(BadRequest) for the first key that no method has read.
   void Finish() const
   {
-    for (const auto& entry : mNode) {
-      auto key = entry.first.as<std::string>();
-      if (mAsked.count(key) == 0) {
-        throw Bad(entry.first, key, "is not a known key");
+    for (const auto& item : mNode) {
+      auto key = item.first.as<std::string>();
+      if (mReadKeys.count(key) == 0) {
+        throw ErrorAt(item.first, key, "is not a known key");
       }
     }
   }
 
 private:
-  // The scalars of a list; none when the key is absent.
+  // The items of a list of scalars; empty if the key is absent.
   std::vector<YAML::Node> List(const std::string& aKey,
                                const std::string& aExpected)
   {
@@ -135,24 +142,25 @@
       return items;
     }
     if (!value.IsSequence()) {
-      throw Bad(value, aKey, aExpected);
+      throw ErrorAt(value, aKey, aExpected);
     }
     for (const YAML::Node& item : value) {
       if (!item.IsScalar()) {
-        throw Bad(item, aKey, aExpected);
+        throw ErrorAt(item, aKey, aExpected);
       }
       items.push_back(item);
     }
     return items;
   }
 
+  // The value of aKey; an undefined node if it is absent and not required.
   YAML::Node Find(const std::string& aKey, bool aRequired)
   {
-    mAsked.insert(aKey);
-    const YAML::Node& fixed = mNode;
-    YAML::Node value = fixed[aKey];
+    mReadKeys.insert(aKey);
+    const YAML::Node& constNode = mNode;
+    YAML::Node value = constNode[aKey];
     if (!value.IsDefined() && aRequired) {
-      throw Bad(mNode, aKey, "is missing");
+      throw ErrorAt(mNode, aKey, "is missing");
     }
     return value.IsDefined() ? value : YAML::Node(YAML::NodeType::Undefined);
   }
@@ -162,23 +170,23 @@
                     const std::string& aText) const
   {
     size_t colon = aText.rfind(':');
-    bool good = colon != std::string::npos && colon > 0;
-    if (good) {
+    bool valid = colon != std::string::npos && colon > 0;
+    if (valid) {
       std::string port = aText.substr(colon + 1);
-      good = !port.empty() && port.size() <= 5 &&
-             port.find_first_not_of("0123456789") == std::string::npos &&
-             std::stoul(port) > 0 && std::stoul(port) <= 65535;
-      good = good && aText.find_first_not_of("0123456789.") == colon;
+      valid = !port.empty() && port.size() <= 5 &&
+              port.find_first_not_of("0123456789") == std::string::npos &&
+              std::stoul(port) > 0 && std::stoul(port) <= 65535;
+      valid = valid && aText.find_first_not_of("0123456789.") == colon;
     }
-    if (!good) {
-      throw Bad(
-        aNode, aKey, "must be an IP number and a port, as 127.0.0.1:80");
+    if (!valid) {
+      throw ErrorAt(
+        aNode, aKey, "must be an IP address and a port, such as 127.0.0.1:80");
     }
   }
 
-  failure Bad(const YAML::Node& aNode,
-              const std::string& aKey,
-              const std::string& aText) const
+  failure ErrorAt(const YAML::Node& aNode,
+                  const std::string& aKey,
+                  const std::string& aText) const
   {
     int line = aNode.Mark().line + 1;
     std::string key = aKey.empty() ? "" : aKey + " ";
@@ -190,9 +198,10 @@
 
   YAML::Node mNode;
   std::string mFile;
-  std::set<std::string> mAsked;
+  std::set<std::string> mReadKeys;
 };
 
+// Parses aText as YAML; throws failure(BadRequest) with file and line.
 inline YAML::Node
 Load(const std::string& aText, const std::string& aFile)
 {
@@ -207,6 +216,7 @@
   }
 }
 
+// Calls aRead and returns its value, or what it throws as a failure.
 template<typename T>
 result<T>
 CatchErrors(const std::string& aFile, const std::function<T()>& aRead)
@@ -221,18 +231,18 @@
   }
 }
 
-// Reads a whole settings file: aRead takes the values from the reader, and what
-// it does not ask for is refused.
+// Reads a whole settings file with aRead(settings_reader&, T*). Keys that aRead
+// does not read are errors.
 template<typename T, typename Read>
 result<T>
 ReadSettingsFile(const std::string& aText, const std::string& aFile, Read aRead)
 {
   return CatchErrors<T>(aFile, [&] {
     settings_reader reader(Load(aText, aFile), aFile);
-    T made;
-    aRead(reader, &made);
+    T settings;
+    aRead(reader, &settings);
     reader.Finish();
-    return made;
+    return settings;
   });
 }
 
--- a/cactusmast/testing/scenario_test.cc
+++ b/cactusmast/testing/scenario_test.cc
@@ -1,5 +1,5 @@
-// Runs every scenario file, and shows that each safeguard is needed: with it
-// switched off, the scenario that is named beside it must fail.
+// Runs every scenario file. Also shows that each safeguard is needed: if it is
+// switched off, the scenario that is listed with it must fail.
 
 #include <algorithm>
 #include <doctest/doctest.h>
@@ -34,44 +34,46 @@
 const std::vector<mutant>&
 Mutants()
 {
-  using s = scenario_safeguards;
+  using safeguards = scenario_safeguards;
   static const std::vector<mutant> kMutants = {
-    { "guard drops links after a pause",
+    { "guard closes links after a pause",
       "guard_paused_past_deadline",
-      [](s& aSet) { aSet.mGuard.mDropLinksAfterPause = false; } },
+      [](safeguards& aSet) { aSet.mGuard.mDropLinksAfterPause = false; } },
     { "guard refuses older configurations",
       "old_configuration_returns",
-      [](s& aSet) { aSet.mGuard.mMonotonicConfig = false; } },
+      [](safeguards& aSet) { aSet.mGuard.mMonotonicConfig = false; } },
     { "owner waits for records",
       "owner_killed_guard_paused",
-      [](s& aSet) { aSet.mEntry.mOwner.mWaitForRecords = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mOwner.mWaitForRecords = false; } },
     { "owner uses records",
       "owner_killed",
-      [](s& aSet) { aSet.mEntry.mOwner.mUseRecords = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mOwner.mUseRecords = false; } },
     { "owner deduplicates jobs",
       "resubmitted",
-      [](s& aSet) { aSet.mEntry.mOwner.mDeduplicateJobs = false; } },
-    { "owner settles before it sends again",
+      [](safeguards& aSet) { aSet.mEntry.mOwner.mDeduplicateJobs = false; } },
+    { "owner resolves dispatches in doubt before a retry",
       "lost_dispatch",
-      [](s& aSet) { aSet.mEntry.mOwner.mSettleBeforeRetry = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mOwner.mSettleBeforeRetry = false; } },
     { "owner steps down when superseded",
       "owner_superseded_while_paused",
-      [](s& aSet) { aSet.mEntry.mOwner.mStepDownWhenSuperseded = false; } },
-    { "decided jobs are told to guards",
+      [](safeguards& aSet) {
+        aSet.mEntry.mOwner.mStepDownWhenSuperseded = false;
+      } },
+    { "owner records abandoned tasks at guards",
       "cancelled_then_owner_lost",
-      [](s& aSet) { aSet.mEntry.mOwner.mRecordAbandoned = false; } },
-    { "changes compare the revision",
+      [](safeguards& aSet) { aSet.mEntry.mOwner.mRecordAbandoned = false; } },
+    { "changes of an outdated revision are refused",
       "operators_race",
-      [](s& aSet) { aSet.mEntry.mConfig.mCompareRevision = false; } },
-    { "changes read back after a lost reply",
+      [](safeguards& aSet) { aSet.mEntry.mConfig.mCompareRevision = false; } },
+    { "changes are read back after a lost reply",
       "table_loses_replies",
-      [](s& aSet) { aSet.mEntry.mConfig.mReadBack = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mConfig.mReadBack = false; } },
     { "entries refuse older configurations",
       "old_configuration_returns",
-      [](s& aSet) { aSet.mEntry.mConfig.mMonotonicVersion = false; } },
-    { "failing workers are set aside",
+      [](safeguards& aSet) { aSet.mEntry.mConfig.mMonotonicVersion = false; } },
+    { "failing workers are quarantined",
       "failing_worker",
-      [](s& aSet) { aSet.mHealth.mEnabled = false; } },
+      [](safeguards& aSet) { aSet.mHealth.mEnabled = false; } },
   };
   return kMutants;
 }
@@ -88,7 +90,7 @@
 
 } // namespace
 
-TEST_CASE("every scenario holds")
+TEST_CASE("every scenario passes")
 {
   std::vector<std::string> files = ScenarioFiles();
   REQUIRE(files.size() >= 30);
@@ -98,16 +100,16 @@
   }
 }
 
-TEST_CASE("every safeguard is needed by the scenario beside it")
+TEST_CASE("every safeguard is needed: its scenario fails without it")
 {
-  for (const mutant& one : Mutants()) {
-    scenario_safeguards without;
-    one.mSwitchOff(without);
-    std::string file = std::string("scenarios/") + one.mScenario + ".yaml";
-    CHECK_MESSAGE(!RunScenario(file, without).empty(),
+  for (const mutant& tested : Mutants()) {
+    scenario_safeguards reduced;
+    tested.mSwitchOff(reduced);
+    std::string file = std::string("scenarios/") + tested.mScenario + ".yaml";
+    CHECK_MESSAGE(!RunScenario(file, reduced).empty(),
                   file,
-                  " holds without: ",
-                  std::string(one.mName));
+                  " passes without: ",
+                  std::string(tested.mName));
   }
 }
 
