--- a/cmd/cactusmast_main.cc
+++ b/cmd/cactusmast_main.cc
@@ -80,16 +80,16 @@
   Done = 0,
   Refused = 1,
   Usage = 2,
-  NoAnswer = 3,
-  Lost = 4
+  NoReply = 3,
+  Conflict = 4
 };
 
 // The value of a command-line option, else of an environment variable; empty
 // when neither is given.
 std::string
-Setting(const arguments_map& aArguments,
-        const char* aOption,
-        const char* aVariable)
+OptionOrVariable(const arguments_map& aArguments,
+                 const char* aOption,
+                 const char* aVariable)
 {
   const docopt::value& given = aArguments.at(aOption);
   if (given.isString()) {
@@ -113,7 +113,7 @@
 {
 public:
   explicit entry_client(const arguments_map& aArguments)
-    : mUrl(Setting(aArguments, "--entry", "CACTUSMAST_ENTRY"))
+    : mUrl(OptionOrVariable(aArguments, "--entry", "CACTUSMAST_ENTRY"))
     , mTimeoutMs(uint32_t(aArguments.at("--timeout-ms").asLong()))
   {
     if (mUrl.empty()) {
@@ -136,15 +136,15 @@
     }
   }
 
-  void Header(const std::string& aName, const std::string& aValue)
+  void AddHeader(const std::string& aName, const std::string& aValue)
   {
     mHeaders.emplace_back(aName, aValue);
   }
 
   // Throws failure when there is no reply.
-  http_response Ask(const std::string& aMethod,
-                    const std::string& aPath,
-                    const std::string& aBody = "")
+  http_response Send(const std::string& aMethod,
+                     const std::string& aPath,
+                     const std::string& aBody = "")
   {
     http_request request;
     request.mMethod = aMethod;
@@ -170,7 +170,7 @@
 };
 
 std::string
-Cell(const json& aValue)
+CellText(const json& aValue)
 {
   return aValue.is_string() ? aValue.get<std::string>() : aValue.dump();
 }
@@ -183,14 +183,14 @@
   for (const std::string& column : aColumns) {
     size_t width = column.size();
     for (const json& row : aRows) {
-      width = std::max(width, Cell(row.value(column, json(""))).size());
+      width = std::max(width, CellText(row.value(column, json(""))).size());
     }
     widths.push_back(width);
   }
-  auto print = [&](const std::function<std::string(size_t)>& aCell) {
+  auto print = [&](const std::function<std::string(size_t)>& aCellOf) {
     std::string line;
     for (size_t i = 0; i < aColumns.size(); i++) {
-      std::string text = aCell(i);
+      std::string text = aCellOf(i);
       line += text + std::string(widths[i] - text.size() + 2, ' ');
     }
     std::cout << Trimmed(line) << "\n";
@@ -198,7 +198,7 @@
   print([&](size_t aIndex) { return aColumns[aIndex]; });
   for (const json& row : aRows) {
     print([&](size_t aIndex) {
-      return Cell(row.value(aColumns[aIndex], json("")));
+      return CellText(row.value(aColumns[aIndex], json("")));
     });
   }
 }
@@ -240,9 +240,9 @@
   bool unknown = body.is_object() && body.contains("error") &&
                  body["error"].value("run", "") == "unknown";
   if (aResponse.mStatus == kConflict) {
-    return Lost;
+    return Conflict;
   }
-  return unknown ? NoAnswer : Refused;
+  return unknown ? NoReply : Refused;
 }
 
 void
@@ -274,8 +274,8 @@
 void
 ShowJob(const json& aBody)
 {
-  std::cout << "job " << Cell(aBody["job"]) << ": " << Cell(aBody["state"])
-            << "\n";
+  std::cout << "job " << CellText(aBody["job"]) << ": "
+            << CellText(aBody["state"]) << "\n";
   if (!aBody.contains("tasks")) {
     return;
   }
@@ -319,7 +319,7 @@
 
 // The KEY=VALUE arguments as an object; values are YAML.
 json
-KeyValues(const arguments_map& aArguments)
+ParseChanges(const arguments_map& aArguments)
 {
   json changes = json::object();
   for (const std::string& pair : aArguments.at("CHANGE").asStringList()) {
@@ -340,11 +340,11 @@
            const json& aProfile,
            uint64_t aRevision)
 {
-  aClient.Header("X-Reason", aArguments.at("--reason").asString());
-  aClient.Header("X-Expected-Revision", std::to_string(aRevision));
+  aClient.AddHeader("X-Reason", aArguments.at("--reason").asString());
+  aClient.AddHeader("X-Expected-Revision", std::to_string(aRevision));
   std::string name = aProfile.value("name", "");
   return Print(aArguments,
-               aClient.Ask("PUT", "/v1/profiles/" + name, aProfile.dump()),
+               aClient.Send("PUT", "/v1/profiles/" + name, aProfile.dump()),
                ShowChange);
 }
 
@@ -352,7 +352,7 @@
 json
 CurrentProfile(entry_client& aClient, const std::string& aName)
 {
-  http_response response = aClient.Ask("GET", "/v1/profiles/" + aName);
+  http_response response = aClient.Send("GET", "/v1/profiles/" + aName);
   constexpr int kOk = 200;
   if (response.mStatus != kOk) {
     throw failure(
@@ -363,7 +363,7 @@
 
 // --revision, or that of aCurrent without it.
 uint64_t
-ChosenRevision(const arguments_map& aArguments, const json& aCurrent)
+ExpectedRevision(const arguments_map& aArguments, const json& aCurrent)
 {
   if (aArguments.at("--revision").isString()) {
     return uint64_t(aArguments.at("--revision").asLong());
@@ -376,7 +376,7 @@
 {
   if (aArguments.at("list").asBool()) {
     return Print(
-      aArguments, aClient.Ask("GET", "/v1/profiles"), [](const json& aBody) {
+      aArguments, aClient.Send("GET", "/v1/profiles"), [](const json& aBody) {
         PrintTable(aBody["profiles"],
                    { "name",
                      "revision",
@@ -389,33 +389,33 @@
       });
   }
   if (aArguments.at("create").asBool()) {
-    json made = ReadDocument(aArguments.at("FILE").asString());
-    return PutProfile(aArguments, aClient, made, 0);
+    json document = ReadDocument(aArguments.at("FILE").asString());
+    return PutProfile(aArguments, aClient, document, 0);
   }
   std::string name = aArguments.at("NAME").asString();
   if (aArguments.at("show").asBool()) {
     return Print(aArguments,
-                 aClient.Ask("GET", "/v1/profiles/" + name),
+                 aClient.Send("GET", "/v1/profiles/" + name),
                  [](const json& aBody) {
                    for (const auto& [key, value] : aBody.items()) {
-                     std::cout << key << ": " << Cell(value) << "\n";
+                     std::cout << key << ": " << CellText(value) << "\n";
                    }
                  });
   }
   if (aArguments.at("history").asBool()) {
     return Print(
-      aArguments, aClient.Ask("GET", "/v1/audit?name=" + name), ShowAudit);
+      aArguments, aClient.Send("GET", "/v1/audit?name=" + name), ShowAudit);
   }
   json current = CurrentProfile(aClient, name);
-  uint64_t revision = ChosenRevision(aArguments, current);
+  uint64_t revision = ExpectedRevision(aArguments, current);
   if (aArguments.at("retire").asBool()) {
-    aClient.Header("X-Reason", aArguments.at("--reason").asString());
-    aClient.Header("X-Expected-Revision", std::to_string(revision));
+    aClient.AddHeader("X-Reason", aArguments.at("--reason").asString());
+    aClient.AddHeader("X-Expected-Revision", std::to_string(revision));
     return Print(
-      aArguments, aClient.Ask("DELETE", "/v1/profiles/" + name), ShowChange);
+      aArguments, aClient.Send("DELETE", "/v1/profiles/" + name), ShowChange);
   }
   current.erase("revision");
-  current.update(KeyValues(aArguments));
+  current.update(ParseChanges(aArguments));
   return PutProfile(aArguments, aClient, current, revision);
 }
 
@@ -424,17 +424,17 @@
 {
   if (aArguments.at("list").asBool()) {
     return Print(
-      aArguments, aClient.Ask("GET", "/v1/teams"), [](const json& aBody) {
+      aArguments, aClient.Send("GET", "/v1/teams"), [](const json& aBody) {
         PrintTable(aBody["teams"], { "name", "quota", "queue_limit" });
       });
   }
-  json made = KeyValues(aArguments);
-  made["name"] = aArguments.at("NAME").asString();
-  aClient.Header("X-Reason", aArguments.at("--reason").asString());
+  json document = ParseChanges(aArguments);
+  document["name"] = aArguments.at("NAME").asString();
+  aClient.AddHeader("X-Reason", aArguments.at("--reason").asString());
   return Print(aArguments,
-               aClient.Ask("PUT",
-                           "/v1/teams/" + made["name"].get<std::string>(),
-                           made.dump()),
+               aClient.Send("PUT",
+                            "/v1/teams/" + document["name"].get<std::string>(),
+                            document.dump()),
                ShowChange);
 }
 
@@ -443,13 +443,13 @@
 {
   json job = ReadDocument(aArguments.at("FILE").asString());
   if (aArguments.at("--key").isString()) {
-    aClient.Header("Idempotency-Key", aArguments.at("--key").asString());
+    aClient.AddHeader("Idempotency-Key", aArguments.at("--key").asString());
   }
   std::string wait = aArguments.at("--wait-ms").isString()
                        ? aArguments.at("--wait-ms").asString()
                        : "30000";
   http_response response =
-    aClient.Ask("POST", "/v1/jobs?wait_ms=" + wait, job.dump());
+    aClient.Send("POST", "/v1/jobs?wait_ms=" + wait, job.dump());
   int code = Print(aArguments, response, ShowJob);
   json body = json::parse(response.mBody, nullptr, false);
   bool failed = body.is_object() && body.value("state", "") == "failed";
@@ -459,8 +459,8 @@
 int
 RunEvacuations(const arguments_map& aArguments)
 {
-  json rows = AskEvacuations(aArguments.at("ADDRESS").asStringList(),
-                             uint32_t(aArguments.at("--timeout-ms").asLong()));
+  json rows = ReadEvacuations(aArguments.at("ADDRESS").asStringList(),
+                              uint32_t(aArguments.at("--timeout-ms").asLong()));
   if (aArguments.at("--json").asBool()) {
     std::cout << rows.dump() << "\n";
   } else {
@@ -497,11 +497,11 @@
     return RunSubmit(aArguments, client);
   }
   if (aArguments.at("status").asBool()) {
-    return Print(aArguments, client.Ask("GET", "/v1/status"), ShowStatus);
+    return Print(aArguments, client.Send("GET", "/v1/status"), ShowStatus);
   }
   if (aArguments.at("workers").asBool()) {
     return Print(
-      aArguments, client.Ask("GET", "/v1/workers"), [](const json& aBody) {
+      aArguments, client.Send("GET", "/v1/workers"), [](const json& aBody) {
         PrintTable(aBody["workers"],
                    { "name",
                      "connected",
@@ -517,18 +517,18 @@
                           ? aArguments.at("--limit").asString()
                           : "50";
     return Print(
-      aArguments, client.Ask("GET", "/v1/audit?limit=" + limit), ShowAudit);
+      aArguments, client.Send("GET", "/v1/audit?limit=" + limit), ShowAudit);
   }
   if (aArguments.at("drain").asBool()) {
     return Print(aArguments,
-                 client.Ask("POST", "/v1/drain", "{}"),
+                 client.Send("POST", "/v1/drain", "{}"),
                  [](const json&) { std::cout << "draining\n"; });
   }
   std::string job = aArguments.at("JOB").asString();
   bool cancel = aArguments.at("cancel").asBool();
   return Print(
     aArguments,
-    client.Ask(cancel ? "DELETE" : "GET", "/v1/jobs/" + job + "?wait_ms=2000"),
+    client.Send(cancel ? "DELETE" : "GET", "/v1/jobs/" + job + "?wait_ms=2000"),
     ShowJob);
 }
 
@@ -556,7 +556,7 @@
               << "\n  run: " << Name(error.RunState()) << "\n";
     bool unknown = error.RunState() == run_state::Unknown;
     bool usage = error.Code() == error_code::BadRequest;
-    return usage ? Usage : unknown ? NoAnswer : Refused;
+    return usage ? Usage : unknown ? NoReply : Refused;
   } catch (const std::exception& error) {
     std::cerr << "cactusmast: " << error.what() << "\n";
     return Usage;
--- a/cmd/evacuations_command.cc
+++ b/cmd/evacuations_command.cc
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 std::string
-MetricsOf(const std::string& aAddress, uint32_t aTimeoutMs)
+FetchMetrics(const std::string& aAddress, uint32_t aTimeoutMs)
 {
   http_request request;
   request.mMethod = "GET";
@@ -31,26 +31,27 @@
 } // namespace
 
 json
-AskEvacuations(const std::vector<std::string>& aAddresses, uint32_t aTimeoutMs)
+ReadEvacuations(const std::vector<std::string>& aAddresses, uint32_t aTimeoutMs)
 {
   json rows = json::array();
   for (const std::string& address : aAddresses) {
-    std::string page = MetricsOf(address, aTimeoutMs);
+    std::string page = FetchMetrics(address, aTimeoutMs);
     std::map<std::string, double> ages =
       ReadGauges(page, kEvacuationsAgeMetric);
-    json heard = ages.empty() ? json("never") : json(ages.begin()->second);
-    std::map<std::string, double> known = ReadGauges(page, kEvacuatedMetric);
-    if (known.empty()) {
+    json storeAge = ages.empty() ? json("never") : json(ages.begin()->second);
+    std::map<std::string, double> evacuated =
+      ReadGauges(page, kEvacuatedMetric);
+    if (evacuated.empty()) {
       rows.push_back({ { "process", address },
                        { "data_center", "none" },
                        { "known_for_s", "" },
-                       { "store_heard_s_ago", heard } });
+                       { "store_heard_s_ago", storeAge } });
     }
-    for (const auto& [center, seconds] : known) {
+    for (const auto& [center, seconds] : evacuated) {
       rows.push_back({ { "process", address },
                        { "data_center", center },
                        { "known_for_s", seconds },
-                       { "store_heard_s_ago", heard } });
+                       { "store_heard_s_ago", storeAge } });
     }
   }
   return rows;
--- a/cmd/evacuations_command.h
+++ b/cmd/evacuations_command.h
@@ -13,7 +13,8 @@
 // row with data centre "none" for a process that knows of none. aAddresses:
 // HOST:PORT of metrics pages. Throws failure when a process does not reply.
 nlohmann::json
-AskEvacuations(const std::vector<std::string>& aAddresses, uint32_t aTimeoutMs);
+ReadEvacuations(const std::vector<std::string>& aAddresses,
+                uint32_t aTimeoutMs);
 
 } // namespace cactusmast
 
--- a/shell/coordinator_daemon.cc
+++ b/shell/coordinator_daemon.cc
@@ -7,25 +7,25 @@
 
 // A watch without a change returns after this time, which shows that the
 // connection still works. A change must be in force within 2 s.
-constexpr uint32_t kConfigWaitMs = 1500;
+constexpr uint32_t kConfigWatchMs = 1500;
 // Entries change rarely, and heartbeats and settings name them too.
-constexpr uint32_t kEntryWaitMs = 10000;
+constexpr uint32_t kEntryWatchMs = 10000;
 // Other entries usually get the configuration from the store as fast as this
-// one. An entry is sent a copy only if it still lacks it after this time, or at
-// once if it has no configuration at all.
-constexpr duration kConfigCopyAfter = milliseconds(300);
+// one. An entry is sent a copy only if it still lacks it after this time,
+// or at once if it has no configuration at all.
+constexpr duration kConfigCopyDelay = milliseconds(300);
 constexpr duration kEntryHeartbeatInterval = milliseconds(300);
 constexpr duration kPeerEntryTimeout = milliseconds(1000);
 // Interval between checks for executors that are due a heartbeat. Every message
 // causes a turn of the loop, and each check visits all busy executors.
 constexpr duration kExecutorCheckInterval = milliseconds(20);
-constexpr duration kAnnounceRetry = milliseconds(1000);
+constexpr duration kRegistrationRetryInterval = milliseconds(1000);
 // The timeout model changes slowly, and all entries write the same row.
-constexpr duration kWaitRowInterval = milliseconds(5000);
-constexpr uint64_t kWaitRowNews = 20;
+constexpr duration kTimeoutModelInterval = milliseconds(5000);
+constexpr uint64_t kMinNewObservations = 20;
 // Bytes of headers and body. The route table's limit applies only once there is
 // a configuration.
-constexpr size_t kMaxBody = 1u << 20;
+constexpr size_t kMaxRequestBytes = 1u << 20;
 
 } // namespace
 
@@ -50,13 +50,13 @@
                      mLog)
   , mConfigWatcher(
       aAdapter.mLayout.mConfigTable,
-      kConfigWaitMs,
+      kConfigWatchMs,
       aAdapter.mStore,
       [this](const table_change& aChange) { OnOperatorRows(aChange); },
       mLog)
   , mEntryWatcher(
       aAdapter.mLayout.mEntryTable,
-      kEntryWaitMs,
+      kEntryWatchMs,
       aAdapter.mStore,
       [this](const table_change& aChange) { OnEntryRows(aChange); },
       mLog)
@@ -68,10 +68,10 @@
                            const coordinator_adapter& aAdapter)
 {
   return ResultOf<std::unique_ptr<coordinator_daemon>>([&] {
-    std::unique_ptr<coordinator_daemon> made(
+    std::unique_ptr<coordinator_daemon> daemon(
       new coordinator_daemon(aSettings, aAdapter));
-    made->Open();
-    return made;
+    daemon->Open();
+    return daemon;
   });
 }
 
@@ -79,22 +79,23 @@
 coordinator_daemon::Open()
 {
   OpenInstance();
-  mFront = std::move(http_server::Create(
-                       mSettings.mFront,
-                       kMaxBody,
-                       [this](http_exchange& aOne) { OnRequest(aOne); },
-                       [this](uint64_t aId) {
-                         mCoordinator.OnCallerDisconnected(aId);
-                         TickSoon();
-                       })
-                       .Value());
+  mFront =
+    std::move(http_server::Create(
+                mSettings.mFront,
+                kMaxRequestBytes,
+                [this](http_exchange& aExchange) { OnRequest(aExchange); },
+                [this](uint64_t aId) {
+                  mCoordinator.OnCallerDisconnected(aId);
+                  TickSoon();
+                })
+                .Value());
   mReadiness = std::move(http_server::Create(
                            mSettings.mReadiness,
-                           kMaxBody,
-                           [this](http_exchange& aOne) {
+                           kMaxRequestBytes,
+                           [this](http_exchange& aExchange) {
                              http_answer answer;
                              answer.mStatus = IsReady() ? 200 : 503;
-                             mReadiness->Answer(aOne.Id(), answer);
+                             mReadiness->Answer(aExchange.Id(), answer);
                            },
                            [](uint64_t) {})
                            .Value());
@@ -119,15 +120,15 @@
 }
 
 void
-coordinator_daemon::Start(peer_id aExecutor, wire::start_tasks_msg aOrder)
+coordinator_daemon::Start(peer_id aExecutor, wire::start_tasks_msg aMessage)
 {
-  SendToExecutor(aExecutor, MakeMessage(std::move(aOrder)));
+  SendToExecutor(aExecutor, MakeMessage(std::move(aMessage)));
 }
 
 void
-coordinator_daemon::Stop(peer_id aExecutor, wire::stop_tasks_msg aOrder)
+coordinator_daemon::Stop(peer_id aExecutor, wire::stop_tasks_msg aMessage)
 {
-  SendToExecutor(aExecutor, MakeMessage(std::move(aOrder)));
+  SendToExecutor(aExecutor, MakeMessage(std::move(aMessage)));
 }
 
 void
@@ -203,16 +204,16 @@
       mCoordinator.OnReport(aPeer, *aMessage.Asserver_report(), Now());
       break;
     case message_kind::entry_pulse: {
-      const wire::entry_pulse_msg& pulse = *aMessage.Asentry_pulse();
+      const wire::entry_pulse_msg& heartbeat = *aMessage.Asentry_pulse();
       auto found = mEntryPeers.find(aPeer);
       if (found == mEntryPeers.end()) {
         break;
       }
       found->second.mLastHeard = Now();
-      found->second.mConfigVersion = pulse.config_version;
+      found->second.mConfigVersion = heartbeat.config_version;
       mCoordinator.OnEvacuations(
-        DecodeEvacuations(pulse.evacuating.get(), Now()), Now());
-      AddEntries(pulse.entries, found->second.mAddress, Now());
+        DecodeEvacuations(heartbeat.evacuating.get(), Now()), Now());
+      AddEntries(heartbeat.entries, found->second.mAddress, Now());
       break;
     }
     case message_kind::config_document:
@@ -229,27 +230,27 @@
                                  const std::string& aSource)
 {
   uint64_t before = mConfig.Version();
-  result<bool> taken = mConfig.Update(aText);
-  if (!taken.Ok()) {
+  result<bool> updated = mConfig.Update(aText);
+  if (!updated.Ok()) {
     mLog.Emit(event_code::ConfigUnreadable,
-              { { "text", taken.Error().what() }, { "source", aSource } });
+              { { "text", updated.Error().what() }, { "source", aSource } });
     return;
   }
-  if (taken.Value()) {
-    mConfigAt = Now();
+  if (updated.Value()) {
+    mConfigInstalledAt = Now();
     mLog.Emit(
       event_code::ConfigInForce,
       { { "version", std::to_string(mConfig.Version()) },
         { "before", std::to_string(before) },
         { "routes", std::to_string(mConfig.Table()->Config().mRoutes.size()) },
         { "source", aSource } });
-    ForgetOldRoutes();
-    ServeHeld();
+    RemoveOldRoutes();
+    ServeHeldRequests();
   }
 }
 
 void
-coordinator_daemon::ForgetOldRoutes()
+coordinator_daemon::RemoveOldRoutes()
 {
   std::set<std::string> routes;
   for (const route& one : mConfig.Table()->Config().mRoutes) {
@@ -298,10 +299,11 @@
   store_row row{ mInstance.PeerAddress(), mInstance.mName, draining, "" };
   mAdapter.mStore.PutRow(mAdapter.mLayout.mEntryTable,
                          row,
-                         [this, draining](const store_reply& aAnswer) {
+                         [this, draining](const store_reply& aReply) {
                            mRegistering = false;
-                           mNextRegistration = Now() + kAnnounceRetry;
-                           if (aAnswer.mStatus == store_status::Ok) {
+                           mNextRegistration =
+                             Now() + kRegistrationRetryInterval;
+                           if (aReply.mStatus == store_status::Ok) {
                              mRegistered = !draining;
                            }
                          });
@@ -313,12 +315,12 @@
 void
 coordinator_daemon::StoreTimeoutModel(instant aNow)
 {
-  const timeout_model& waits = mCoordinator.TimeoutModel();
+  const timeout_model& model = mCoordinator.TimeoutModel();
   if (aNow >= mNextTimeoutModelWrite &&
-      waits.Observations() >= mStoredObservations + kWaitRowNews) {
-    mNextTimeoutModelWrite = aNow + kWaitRowInterval;
-    mStoredObservations = waits.Observations();
-    mTimeoutModelRow.Set(waits.Encode());
+      model.Observations() >= mStoredObservations + kMinNewObservations) {
+    mNextTimeoutModelWrite = aNow + kTimeoutModelInterval;
+    mStoredObservations = model.Observations();
+    mTimeoutModelRow.Set(model.Encode());
   }
   mTimeoutModelRow.Tick(aNow);
 }
@@ -334,16 +336,16 @@
 }
 
 wire::entry_pulse_msg
-coordinator_daemon::MakeHeartbeat(uint64_t* aToldRevision, instant aNow) const
-{
-  wire::entry_pulse_msg pulse;
-  pulse.config_version = mConfig.Version();
-  pulse.evacuating = EncodeEvacuations(mCoordinator.Evacuations(), aNow);
-  if (*aToldRevision != mDirectory.Revision()) {
-    pulse.entries = mDirectory.LiveAddresses(aNow);
-    *aToldRevision = mDirectory.Revision();
+coordinator_daemon::MakeHeartbeat(uint64_t* aSentRevision, instant aNow) const
+{
+  wire::entry_pulse_msg heartbeat;
+  heartbeat.config_version = mConfig.Version();
+  heartbeat.evacuating = EncodeEvacuations(mCoordinator.Evacuations(), aNow);
+  if (*aSentRevision != mDirectory.Revision()) {
+    heartbeat.entries = mDirectory.LiveAddresses(aNow);
+    *aSentRevision = mDirectory.Revision();
   }
-  return pulse;
+  return heartbeat;
 }
 
 // Every message to an executor counts as a heartbeat, so heartbeats go only to
@@ -375,13 +377,13 @@
 void
 coordinator_daemon::SendEntryList(instant aNow)
 {
-  std::vector<peer_id> untold;
-  for (const auto& [peer, at] : mExecutorPeers) {
-    if (at.mSentRevision != mSentRevision) {
-      untold.push_back(peer);
+  std::vector<peer_id> outdated;
+  for (const auto& [peer, state] : mExecutorPeers) {
+    if (state.mSentRevision != mSentRevision) {
+      outdated.push_back(peer);
     }
   }
-  for (peer_id peer : untold) {
+  for (peer_id peer : outdated) {
     auto found = mExecutorPeers.find(peer);
     if (found != mExecutorPeers.end()) {
       SendExecutorHeartbeat(peer, found->second, aNow);
@@ -391,10 +393,11 @@
 
 void
 coordinator_daemon::SendExecutorHeartbeat(peer_id aPeer,
-                                          executor_peer& aAt,
+                                          executor_peer& aState,
                                           instant aNow)
 {
-  SendToExecutor(aPeer, MakeMessage(MakeHeartbeat(&aAt.mSentRevision, aNow)));
+  SendToExecutor(aPeer,
+                 MakeMessage(MakeHeartbeat(&aState.mSentRevision, aNow)));
 }
 
 void
@@ -405,22 +408,26 @@
     return;
   }
   mNextHeartbeat = aNow + kEntryHeartbeatInterval;
-  for (auto& [peer, at] : mEntryPeers) {
-    mTransport->Send(peer, MakeMessage(MakeHeartbeat(&at.mSentRevision, aNow)));
-    SendConfigTo(peer, at, aNow);
+  for (auto& [peer, state] : mEntryPeers) {
+    mTransport->Send(peer,
+                     MakeMessage(MakeHeartbeat(&state.mSentRevision, aNow)));
+    SendConfigTo(peer, state, aNow);
   }
 }
 
 void
-coordinator_daemon::SendConfigTo(peer_id aPeer, entry_peer& aAt, instant aNow)
-{
-  bool lacks = aAt.mConfigVersion < mConfig.Version() &&
-               aAt.mSentVersion < mConfig.Version() &&
-               (aAt.mConfigVersion == 0 || aNow - mConfigAt > kConfigCopyAfter);
-  if (!lacks) {
+coordinator_daemon::SendConfigTo(peer_id aPeer,
+                                 entry_peer& aState,
+                                 instant aNow)
+{
+  bool needsCopy = aState.mConfigVersion < mConfig.Version() &&
+                   aState.mSentVersion < mConfig.Version() &&
+                   (aState.mConfigVersion == 0 ||
+                    aNow - mConfigInstalledAt > kConfigCopyDelay);
+  if (!needsCopy) {
     return;
   }
-  aAt.mSentVersion = mConfig.Version();
+  aState.mSentVersion = mConfig.Version();
   wire::config_document_msg document;
   document.version = mConfig.Version();
   document.text = mConfig.Text();
@@ -430,15 +437,15 @@
 void
 coordinator_daemon::DropSilentEntries(instant aNow)
 {
-  for (auto at = mEntryPeers.begin(); at != mEntryPeers.end();) {
-    if (aNow - at->second.mLastHeard <= kPeerEntryTimeout) {
-      ++at;
+  for (auto it = mEntryPeers.begin(); it != mEntryPeers.end();) {
+    if (aNow - it->second.mLastHeard <= kPeerEntryTimeout) {
+      ++it;
       continue;
     }
-    mLog.Emit(event_code::PeerSilent, { { "peer", at->second.mAddress } });
-    mDirectory.OnDown(at->second.mAddress, aNow);
-    mTransport->Close(at->first);
-    at = mEntryPeers.erase(at);
+    mLog.Emit(event_code::PeerSilent, { { "peer", it->second.mAddress } });
+    mDirectory.OnDown(it->second.mAddress, aNow);
+    mTransport->Close(it->first);
+    it = mEntryPeers.erase(it);
   }
 }
 
@@ -451,7 +458,7 @@
   mEntryWatcher.Tick(now);
   RegisterSelf(now);
   StoreTimeoutModel(now);
-  RefuseOverdue(now);
+  RefuseOverdueRequests(now);
   CloseIdleConnections(now);
   mCoordinator.Tick(now);
   DropSilentEntries(now);
--- a/shell/coordinator_daemon.h
+++ b/shell/coordinator_daemon.h
@@ -58,8 +58,8 @@
   void OnPeerDown(peer_id aPeer) override;
   void OnPeerMessage(peer_id aPeer, const message& aMessage) override;
 
-  void Start(peer_id aExecutor, wire::start_tasks_msg aOrder) override;
-  void Stop(peer_id aExecutor, wire::stop_tasks_msg aOrder) override;
+  void Start(peer_id aExecutor, wire::start_tasks_msg aMessage) override;
+  void Stop(peer_id aExecutor, wire::stop_tasks_msg aMessage) override;
   void Subscribe(peer_id aExecutor, bool aWanted) override;
   void SendEvacuations(peer_id aExecutor) override;
   void Close(peer_id aExecutor) override;
@@ -99,9 +99,9 @@
   // when there is no room or the mechanism is switched off.
   void HoldRequest(http_exchange& aExchange);
   void RefuseUnconfigured(uint64_t aExchange);
-  void ServeHeld();
+  void ServeHeldRequests();
   // Refuses held requests that have waited too long for a configuration.
-  void RefuseOverdue(instant aNow);
+  void RefuseOverdueRequests(instant aNow);
   // Does so in the later part of a drain only.
   void CloseIdleConnections(instant aNow);
   void OnSubmission(http_exchange& aExchange,
@@ -113,12 +113,12 @@
                                         const route_table& aTable,
                                         const route& aRoute) const;
   void Reply(uint64_t aExchange, int aStatus, const std::string& aBody);
-  void Refuse(uint64_t aExchange, const failure& aWhy);
+  void Refuse(uint64_t aExchange, const failure& aError);
   // A failure of this process that says that nothing was run.
-  failure NotRun(error_code aCode,
-                 const std::string& aStep,
-                 const std::string& aReason,
-                 milliseconds aRetryAfter) const;
+  failure MakeRefusal(error_code aCode,
+                      const std::string& aStep,
+                      const std::string& aReason,
+                      milliseconds aRetryAfter) const;
 
   bool IsDraining() const { return mDrainingSince.count() != 0; }
   // Zero unless draining.
@@ -130,35 +130,37 @@
   bool AcceptsJobs() const;
   // Whether all tasks of aJob, by their declared run times, end before the
   // drain does. Always true unless draining.
-  bool EndsBeforeStop(const job_submission& aJob) const;
+  bool EndsWithinDrain(const job_submission& aJob) const;
   bool IsReady() const;
   void UpdateConfig(const std::string& aText, const std::string& aSource);
   // Removes routes that are no longer configured from the timeout model.
-  void ForgetOldRoutes();
+  void RemoveOldRoutes();
   void OnOperatorRows(const table_change& aChange);
   void OnEntryRows(const table_change& aChange);
   void RegisterSelf(instant aNow);
   void StoreTimeoutModel(instant aNow);
-  // aToldRevision: revision of the directory that the receiver has. When it is
-  // not the newest, the heartbeat lists the entries and *aToldRevision is set
+  // aSentRevision: revision of the directory that the receiver has. When it is
+  // not the newest, the heartbeat lists the entries and *aSentRevision is set
   // to the newest.
-  wire::entry_pulse_msg MakeHeartbeat(uint64_t* aToldRevision,
+  wire::entry_pulse_msg MakeHeartbeat(uint64_t* aSentRevision,
                                       instant aNow) const;
   void SendHeartbeats(instant aNow);
   void SendExecutorHeartbeats(instant aNow);
-  void SendExecutorHeartbeat(peer_id aPeer, executor_peer& aAt, instant aNow);
+  void SendExecutorHeartbeat(peer_id aPeer,
+                             executor_peer& aState,
+                             instant aNow);
   // Sends the list of entries to executors that lack its newest revision.
   void SendEntryList(instant aNow);
   void SendToExecutor(peer_id aExecutor, message aMessage);
-  void SendConfigTo(peer_id aPeer, entry_peer& aAt, instant aNow);
+  void SendConfigTo(peer_id aPeer, entry_peer& aState, instant aNow);
   void DropSilentEntries(instant aNow);
 
   coordinator_settings mSettings;
   coordinator_adapter mAdapter;
   job_coordinator mCoordinator;
   config_holder mConfig;
-  instant mConfigAt{}; // when the configuration in force was installed
-  startup_queue mHeld; // requests that wait for the first configuration
+  instant mConfigInstalledAt{}; // when the configuration in force was installed
+  startup_queue mHeldRequests; // requests that wait for the first configuration
   evacuation_reader mEvacuationRows;
   stored_row mTimeoutModelRow;
   // Observations of the timeout model as of the last write of its row.
--- a/shell/coordinator_requests.cc
+++ b/shell/coordinator_requests.cc
@@ -45,12 +45,12 @@
 }
 
 void
-coordinator_daemon::Refuse(uint64_t aExchange, const failure& aWhy)
+coordinator_daemon::Refuse(uint64_t aExchange, const failure& aError)
 {
-  mLog.Emit(
-    event_code::JobRefused,
-    { { "reason", aWhy.what() }, { "code", std::string(Name(aWhy.Code())) } });
-  http_answer answer = ErrorAnswer(aWhy);
+  mLog.Emit(event_code::JobRefused,
+            { { "reason", aError.what() },
+              { "code", std::string(Name(aError.Code())) } });
+  http_answer answer = ErrorAnswer(aError);
   answer.mClose = IsDraining();
   mFront->Answer(aExchange, answer);
 }
@@ -59,7 +59,8 @@
 coordinator_daemon::HoldRequest(http_exchange& aExchange)
 {
   bool holds = mInstance.mMechanisms.Has(mechanism::HoldAtStart);
-  if (!holds || !mHeld.Add(aExchange.Id(), aExchange.Body().size(), Now())) {
+  if (!holds ||
+      !mHeldRequests.Add(aExchange.Id(), aExchange.Body().size(), Now())) {
     RefuseUnconfigured(aExchange.Id());
   }
 }
@@ -77,9 +78,9 @@
 }
 
 void
-coordinator_daemon::ServeHeld()
+coordinator_daemon::ServeHeldRequests()
 {
-  for (caller_id held : mHeld.TakeAll()) {
+  for (caller_id held : mHeldRequests.TakeAll()) {
     http_exchange* exchange = mFront->Find(held);
     if (exchange != nullptr) {
       OnRequest(*exchange);
@@ -88,9 +89,9 @@
 }
 
 void
-coordinator_daemon::RefuseOverdue(instant aNow)
+coordinator_daemon::RefuseOverdueRequests(instant aNow)
 {
-  for (caller_id held : mHeld.TakeOverdue(aNow)) {
+  for (caller_id held : mHeldRequests.TakeOverdue(aNow)) {
     RefuseUnconfigured(held);
   }
 }
@@ -114,8 +115,8 @@
     return;
   }
   const std::string& path = aExchange.Path();
-  const route* way = table->Find(aExchange.Header("Host"), path);
-  if (way == nullptr) {
+  const route* matched = table->Find(aExchange.Header("Host"), path);
+  if (matched == nullptr) {
     Refuse(aExchange.Id(),
            failure(error_code::NotFound,
                    "route",
@@ -124,13 +125,13 @@
                      std::to_string(mConfig.Version())));
     return;
   }
-  std::string name = path.substr(way->mPrefix.size());
+  std::string name = path.substr(matched->mPrefix.size());
   const std::string& method = aExchange.Method();
   if (name.empty() && method == "GET") {
     Reply(aExchange.Id(),
           SOUP_STATUS_OK,
           mAdapter.mCallers.EncodeQueueLength(
-            mCoordinator.UnstartedJobs(way->mName)));
+            mCoordinator.UnstartedJobs(matched->mName)));
     return;
   }
   uint64_t job = 0;
@@ -143,7 +144,7 @@
     return;
   }
   if (method == "POST") {
-    OnSubmission(aExchange, table, *way, job);
+    OnSubmission(aExchange, table, *matched, job);
     TickSoon();
     return;
   }
@@ -165,7 +166,7 @@
 }
 
 bool
-coordinator_daemon::EndsBeforeStop(const job_submission& aJob) const
+coordinator_daemon::EndsWithinDrain(const job_submission& aJob) const
 {
   milliseconds longest{ 0 };
   for (const job_step& step : aJob.mSteps) {
@@ -176,10 +177,10 @@
 }
 
 failure
-coordinator_daemon::NotRun(error_code aCode,
-                           const std::string& aStep,
-                           const std::string& aReason,
-                           milliseconds aRetryAfter) const
+coordinator_daemon::MakeRefusal(error_code aCode,
+                                const std::string& aStep,
+                                const std::string& aReason,
+                                milliseconds aRetryAfter) const
 {
   return failure(
     aCode, aStep, mInstance.mName, aReason, run_state::NotRun, aRetryAfter);
@@ -194,18 +195,18 @@
     return failure(error_code::TooLarge, "read request", "caller", "body");
   }
   if (aRoute.mNeedsTickets) {
-    return NotRun(error_code::Unavailable,
-                  "submit",
-                  "routes whose starts need tickets are not supported",
-                  kUnservedRetryAfter);
+    return MakeRefusal(error_code::Unavailable,
+                       "submit",
+                       "routes whose starts need tickets are not supported",
+                       kUnservedRetryAfter);
   }
   result<job_submission> decoded =
     mAdapter.mCallers.DecodeJob(aExchange.Body());
-  if (decoded.Ok() && !(AcceptsJobs() && EndsBeforeStop(decoded.Value()))) {
-    return NotRun(error_code::Draining,
-                  "submit",
-                  "this entry is draining",
-                  kOtherEntryRetryAfter);
+  if (decoded.Ok() && !(AcceptsJobs() && EndsWithinDrain(decoded.Value()))) {
+    return MakeRefusal(error_code::Draining,
+                       "submit",
+                       "this entry is draining",
+                       kOtherEntryRetryAfter);
   }
   return decoded;
 }
@@ -249,10 +250,10 @@
   switch (aOutcome.mEnding) {
     case job_ending::Refused:
       Refuse(aCaller,
-             NotRun(error_code::Overloaded,
-                    "place",
-                    aOutcome.mReason,
-                    milliseconds(ToMs(aOutcome.mRetryAfter))));
+             MakeRefusal(error_code::Overloaded,
+                         "place",
+                         aOutcome.mReason,
+                         milliseconds(ToMs(aOutcome.mRetryAfter))));
       return;
     case job_ending::Expired:
       Reply(aCaller, SOUP_STATUS_GATEWAY_TIMEOUT, "{}");
--- a/shell/daemon.cc
+++ b/shell/daemon.cc
@@ -79,8 +79,8 @@
 void
 daemon_loop::TickSoon()
 {
-  if (mIdle == 0) {
-    mIdle = g_idle_add_full(
+  if (mTickSource == 0) {
+    mTickSource = g_idle_add_full(
       G_PRIORITY_HIGH_IDLE, &daemon_loop::OnIdle, this, nullptr);
   }
 }
@@ -88,37 +88,37 @@
 void
 daemon_loop::RunTick()
 {
-  mTickedAt = Now();
+  mLastTick = Now();
   OnTick();
   CheckDrained();
 }
 
 void
-daemon_loop::ArmTimer(duration aAfter)
+daemon_loop::ArmTimer(duration aDelay)
 {
-  auto afterMs = std::chrono::ceil<milliseconds>(aAfter).count();
-  g_timeout_add(guint(afterMs), &daemon_loop::OnTimer, this);
+  auto delayMs = std::chrono::ceil<milliseconds>(aDelay).count();
+  g_timeout_add(guint(delayMs), &daemon_loop::OnTimer, this);
 }
 
 gboolean
 daemon_loop::OnIdle(gpointer aData)
 {
   auto* self = static_cast<daemon_loop*>(aData);
-  self->mIdle = 0;
+  self->mTickSource = 0;
   self->RunTick();
   return G_SOURCE_REMOVE;
 }
 
-// Input may have caused a tick since the timer was armed; the next one is then
-// due an interval after that tick.
+// Input may have caused a tick since the timer was armed; the next one is
+// then due an interval after that tick.
 gboolean
 daemon_loop::OnTimer(gpointer aData)
 {
   auto* self = static_cast<daemon_loop*>(aData);
   duration interval = milliseconds(self->TickIntervalMs());
-  duration since = Now() - self->mTickedAt;
-  if (since < interval) {
-    self->ArmTimer(interval - since);
+  duration sinceTick = Now() - self->mLastTick;
+  if (sinceTick < interval) {
+    self->ArmTimer(interval - sinceTick);
     return G_SOURCE_REMOVE;
   }
   self->RunTick();
@@ -129,8 +129,8 @@
 void
 daemon_loop::CheckDrained()
 {
-  if (mDraining && !mAborted && !mLeaving && IsDrained()) {
-    mLeaving = true;
+  if (mDraining && !mAborted && !mQuitting && IsDrained()) {
+    mQuitting = true;
     QuitSoon(G_PRIORITY_LOW);
   }
 }
@@ -158,7 +158,8 @@
     return;
   }
   mDraining = true;
-  mDeadline = g_timeout_add(mDrainTimeoutMs, &daemon_loop::OnDeadline, this);
+  mDeadlineSource =
+    g_timeout_add(mDrainTimeoutMs, &daemon_loop::OnDeadline, this);
   OnDrain();
   TickSoon();
 }
--- a/shell/daemon.h
+++ b/shell/daemon.h
@@ -69,18 +69,18 @@
   static gboolean OnHangup(gpointer aData);
   static gboolean OnDeadline(gpointer aData);
   void RunTick();
-  void ArmTimer(duration aAfter);
+  void ArmTimer(duration aDelay);
   void CheckDrained();
   void QuitSoon(gint aPriority);
 
   GMainLoop* mLoop = nullptr;
-  guint mIdle = 0; // source of the tick that is scheduled; 0: none
-  instant mTickedAt{};
-  guint mDeadline = 0;
+  guint mTickSource = 0; // source of the tick that is scheduled; 0: none
+  instant mLastTick{};
+  guint mDeadlineSource = 0;
   uint32_t mDrainTimeoutMs = 0;
   bool mDraining = false;
   bool mAborted = false;
-  bool mLeaving = false;
+  bool mQuitting = false;
 };
 
 } // namespace cactusmast
--- a/shell/daemon_main.h
+++ b/shell/daemon_main.h
@@ -36,13 +36,14 @@
 RunDaemon(int aCount,
           char** aArguments,
           const char* aUsage,
-          result<Settings> (*aRead)(const std::string&, const std::string&))
+          result<Settings> (*aReadSettings)(const std::string&,
+                                            const std::string&))
 {
   auto arguments =
     docopt::docopt(aUsage, { aArguments + 1, aArguments + aCount }, true, "");
   return RunOrReport([&] {
     std::string file = arguments["--settings"].asString();
-    Settings settings = aRead(ReadFile(file), file).Value();
+    Settings settings = aReadSettings(ReadFile(file), file).Value();
     if (arguments["--check"].asBool()) {
       return 0;
     }
--- a/shell/entry_daemon.cc
+++ b/shell/entry_daemon.cc
@@ -63,9 +63,9 @@
 entry_daemon::Create(const entry_settings& aSettings)
 {
   return ResultOf<std::unique_ptr<entry_daemon>>([&] {
-    std::unique_ptr<entry_daemon> made(new entry_daemon(aSettings));
-    made->Open();
-    return made;
+    std::unique_ptr<entry_daemon> daemon(new entry_daemon(aSettings));
+    daemon->Open();
+    return daemon;
   });
 }
 
@@ -86,15 +86,16 @@
   transport.mSelf.mRegion = process.mRegion;
   mTransport =
     std::move(peer_transport::Create(transport, *this, mLog).Value());
-  mHttp = std::move(http_server::Create(
-                      process.mHttp,
-                      mSettings.mApi.mMaxBody,
-                      [this](http_exchange& aOne) { OnRequest(aOne); },
-                      [this](uint64_t aId) {
-                        mOpen.erase(aId);
-                        mNode->OnCallerDisconnected(aId);
-                      })
-                      .Value());
+  mHttp =
+    std::move(http_server::Create(
+                process.mHttp,
+                mSettings.mApi.mMaxBody,
+                [this](http_exchange& aExchange) { OnRequest(aExchange); },
+                [this](uint64_t aId) {
+                  mOpenRequests.erase(aId);
+                  mNode->OnCallerDisconnected(aId);
+                })
+                .Value());
   entry_options options;
   options.mName = process.mName;
   options.mIncarnation = mIncarnation;
@@ -159,7 +160,8 @@
 bool
 entry_daemon::IsDrained()
 {
-  return mNode->IsDrained() && mOpen.empty() && !mTransport->OutputPending();
+  return mNode->IsDrained() && mOpenRequests.empty() &&
+         !mTransport->OutputPending();
 }
 
 void
@@ -178,19 +180,19 @@
 void
 entry_daemon::Reply(caller_id aCaller, const wire::job_reply_msg& aReply)
 {
-  auto found = mOpen.find(aCaller);
-  if (found == mOpen.end()) {
+  auto found = mOpenRequests.find(aCaller);
+  if (found == mOpenRequests.end()) {
     return;
   }
   open_request open = found->second;
-  mOpen.erase(found);
+  mOpenRequests.erase(found);
   http_answer answer;
   answer.mStatus = StatusOf(aReply);
   answer.mRetryAfterMs = aReply.retry_after_ms;
-  bool whole = open.mRaw && aReply.error == 0 &&
-               aReply.state == uint8_t(job_state::Complete) &&
-               aReply.tasks.size() == 1;
-  if (whole) {
+  bool isRawAnswer = open.mRaw && aReply.error == 0 &&
+                     aReply.state == uint8_t(job_state::Complete) &&
+                     aReply.tasks.size() == 1;
+  if (isRawAnswer) {
     answer.mBody = aReply.tasks[0].output;
     answer.mType = "application/octet-stream";
   } else {
@@ -317,7 +319,8 @@
 }
 
 std::string
-entry_daemon::KeyOf(const http_exchange& aExchange, const profile& aProfile)
+entry_daemon::IdempotencyKeyOf(const http_exchange& aExchange,
+                               const profile& aProfile)
 {
   std::string given = aExchange.Header("Idempotency-Key");
   if (!given.empty()) {
@@ -340,35 +343,37 @@
 entry_daemon::OnJobs(http_exchange& aExchange)
 {
   std::string teamName = TeamOf(aExchange);
-  submission made =
+  submission submitted =
     std::move(ParseSubmission(aExchange.Body(), mSettings.mApi).Value());
-  made.mTeam = teamName;
-  made.mKey = KeyOf(aExchange, ProfileOf(made.mProfile));
-  made.mId = mNode->IdentityOf(made.mTeam, made.mKey);
+  submitted.mTeam = teamName;
+  submitted.mKey = IdempotencyKeyOf(aExchange, ProfileOf(submitted.mProfile));
+  submitted.mId = mNode->IdentityOf(submitted.mTeam, submitted.mKey);
   uint32_t wait =
     aExchange.QueryNumber("wait_ms", 0, mSettings.mApi.mMaxWaitMs);
-  mOpen[aExchange.Id()] = { made.mId, false };
-  mNode->Submit(aExchange.Id(), std::move(made), milliseconds(wait), Now());
+  mOpenRequests[aExchange.Id()] = { submitted.mId, false };
+  mNode->Submit(
+    aExchange.Id(), std::move(submitted), milliseconds(wait), Now());
 }
 
 void
 entry_daemon::OnRun(http_exchange& aExchange, const std::string& aProfile)
 {
-  submission made;
-  made.mTeam = TeamOf(aExchange);
-  const profile& rules = ProfileOf(aProfile);
-  made.mProfile = aProfile;
-  made.mKey = KeyOf(aExchange, rules);
-  made.mId = mNode->IdentityOf(made.mTeam, made.mKey);
-  made.mPayloads.push_back(aExchange.Body());
-  if (made.mPayloads[0].size() > mSettings.mApi.mMaxPayload) {
+  submission submitted;
+  submitted.mTeam = TeamOf(aExchange);
+  const profile& chosenProfile = ProfileOf(aProfile);
+  submitted.mProfile = aProfile;
+  submitted.mKey = IdempotencyKeyOf(aExchange, chosenProfile);
+  submitted.mId = mNode->IdentityOf(submitted.mTeam, submitted.mKey);
+  submitted.mPayloads.push_back(aExchange.Body());
+  if (submitted.mPayloads[0].size() > mSettings.mApi.mMaxPayload) {
     throw failure(
       error_code::TooLarge, "read submission", "caller", "payload too large");
   }
-  constexpr uint32_t kGraceMs = 3000;
-  uint32_t wait = rules.mDeadlineMs + kGraceMs;
-  mOpen[aExchange.Id()] = { made.mId, true };
-  mNode->Submit(aExchange.Id(), std::move(made), milliseconds(wait), Now());
+  constexpr uint32_t kReplyMarginMs = 3000;
+  uint32_t wait = chosenProfile.mDeadlineMs + kReplyMarginMs;
+  mOpenRequests[aExchange.Id()] = { submitted.mId, true };
+  mNode->Submit(
+    aExchange.Id(), std::move(submitted), milliseconds(wait), Now());
 }
 
 void
@@ -382,13 +387,13 @@
   }
   milliseconds wait(
     aExchange.QueryNumber("wait_ms", 0, mSettings.mApi.mMaxWaitMs));
-  mOpen[aExchange.Id()] = { id, false };
+  mOpenRequests[aExchange.Id()] = { id, false };
   if (aExchange.Method() == "GET") {
     mNode->Watch(aExchange.Id(), teamName, id, wait, Now());
   } else if (aExchange.Method() == "DELETE") {
     mNode->Cancel(aExchange.Id(), teamName, id, wait, Now());
   } else {
-    mOpen.erase(aExchange.Id());
+    mOpenRequests.erase(aExchange.Id());
     throw failure(
       error_code::BadRequest, "read job", "caller", "GET or DELETE");
   }
@@ -410,9 +415,9 @@
   std::string revision = aExchange.Header("X-Expected-Revision");
   if (aChange.mAction != change_action::PutTeam) {
     guint64 value = 0;
-    bool good = g_ascii_string_to_unsigned(
+    bool valid = g_ascii_string_to_unsigned(
       revision.c_str(), 10, 0, G_MAXUINT64, &value, nullptr);
-    if (!good) {
+    if (!valid) {
       throw failure(error_code::BadRequest,
                     "read change",
                     "operator",
@@ -507,8 +512,8 @@
     return;
   }
   read.mRows.insert(read.mRows.end(), aReply.mRows.begin(), aReply.mRows.end());
-  if (!read.mSecond) {
-    read.mSecond = true;
+  if (!read.mReadingRefused) {
+    read.mReadingRefused = true;
     mAuditReads[mTable.Read("refused/", read.mLimit, true)] = read;
     return;
   }
@@ -519,8 +524,8 @@
 entry_daemon::Metrics() const
 {
   metrics_page page;
-  owner_counters counts = mNode->Counters();
-  const transport_counters& links = mTransport->Counters();
+  owner_counters counters = mNode->Counters();
+  const transport_counters& transport = mTransport->Counters();
   struct counter_row
   {
     const char* mName;
@@ -528,45 +533,45 @@
     uint64_t mValue;
   };
   const counter_row kRows[] = {
-    { "jobs_accepted", "Jobs admitted.", counts.mJobsAccepted },
-    { "jobs_refused", "Submissions refused.", counts.mJobsRefused },
-    { "jobs_complete", "Jobs that completed.", counts.mJobsComplete },
-    { "jobs_failed", "Jobs that failed.", counts.mJobsFailed },
-    { "tasks_dispatched", "Tasks sent to workers.", counts.mDispatchedTasks },
+    { "jobs_accepted", "Jobs admitted.", counters.mJobsAccepted },
+    { "jobs_refused", "Submissions refused.", counters.mJobsRefused },
+    { "jobs_complete", "Jobs that completed.", counters.mJobsComplete },
+    { "jobs_failed", "Jobs that failed.", counters.mJobsFailed },
+    { "tasks_dispatched", "Tasks sent to workers.", counters.mDispatchedTasks },
     { "tasks_repeated",
       "Tasks dispatched again after a refusal.",
-      counts.mRepeatedTasks },
-    { "tasks_refused", "Tasks refused by guards.", counts.mRefusedTasks },
-    { "results", "Results received.", counts.mResultTasks },
+      counters.mRepeatedTasks },
+    { "tasks_refused", "Tasks refused by guards.", counters.mRefusedTasks },
+    { "results", "Results received.", counters.mResultTasks },
     { "results_duplicate",
       "Results received before.",
-      counts.mDuplicateResults },
-    { "dispatch_messages", "Dispatch messages.", counts.mDispatchMessages },
-    { "result_messages", "Result messages.", counts.mResultMessages },
+      counters.mDuplicateResults },
+    { "dispatch_messages", "Dispatch messages.", counters.mDispatchMessages },
+    { "result_messages", "Result messages.", counters.mResultMessages },
     { "ack_messages",
       "Messages with acknowledgements only.",
-      counts.mAckMessages },
+      counters.mAckMessages },
     { "settle_messages",
       "Queries for tasks in doubt.",
-      counts.mSettleMessages },
-    { "cancel_messages", "Cancellations.", counts.mCancelMessages },
-    { "fetch_messages", "Requests for results.", counts.mFetchMessages },
-    { "lease_messages", "Lease requests.", counts.mLeaseMessages },
+      counters.mSettleMessages },
+    { "cancel_messages", "Cancellations.", counters.mCancelMessages },
+    { "fetch_messages", "Requests for results.", counters.mFetchMessages },
+    { "lease_messages", "Lease requests.", counters.mLeaseMessages },
     { "requests_forwarded",
       "Requests forwarded to other entries.",
       mNode->ForwardedRequests() },
     { "http_requests", "HTTP requests.", mHttp->Served() },
-    { "peer_bytes_received", "Bytes from peers.", links.mBytesIn },
-    { "peer_bytes_sent", "Bytes to peers.", links.mBytesOut },
-    { "peer_messages_received", "Messages from peers.", links.mMessagesIn },
-    { "peer_messages_sent", "Messages to peers.", links.mMessagesOut },
-    { "peer_protocol_errors", "Malformed frames.", links.mProtocolErrors },
+    { "peer_bytes_received", "Bytes from peers.", transport.mBytesIn },
+    { "peer_bytes_sent", "Bytes to peers.", transport.mBytesOut },
+    { "peer_messages_received", "Messages from peers.", transport.mMessagesIn },
+    { "peer_messages_sent", "Messages to peers.", transport.mMessagesOut },
+    { "peer_protocol_errors", "Malformed frames.", transport.mProtocolErrors },
     { "peer_refused",
       "Peers that could not prove the shared key.",
-      links.mRefusedPeers },
+      transport.mRefusedPeers },
     { "send_budget_spent",
       "Peers closed with too much unsent output.",
-      links.mSendBudgetSpent },
+      transport.mSendBudgetSpent },
     { "table_reads", "Reads of the table.", mTable.Counters().mReads },
     { "table_writes", "Writes to the table.", mTable.Counters().mWrites },
     { "table_unavailable",
--- a/shell/entry_daemon.h
+++ b/shell/entry_daemon.h
@@ -70,9 +70,10 @@
   // X-Team header, or "default".
   std::string TeamOf(const http_exchange& aExchange) const;
   std::string OperatorOf(const http_exchange& aExchange) const;
-  // The request's idempotency key; made up when it has none and aProfile is
-  // idempotent, else throws failure.
-  std::string KeyOf(const http_exchange& aExchange, const profile& aProfile);
+  // The request's idempotency key; made up when it has none and aProfile
+  // is idempotent, else throws failure.
+  std::string IdempotencyKeyOf(const http_exchange& aExchange,
+                               const profile& aProfile);
   // Throws failure when there is no such profile.
   const profile& ProfileOf(const std::string& aName) const;
   void Fail(uint64_t aExchange, const failure& aError);
@@ -85,7 +86,7 @@
   table_client mTable;
   std::unique_ptr<http_server> mHttp;
   std::unique_ptr<entry_node> mNode;
-  std::map<uint64_t, open_request> mOpen; // by exchange
+  std::map<uint64_t, open_request> mOpenRequests; // by exchange
   // A request for the audit trail takes two reads of the table: of accepted
   // changes, then of refused ones.
   struct audit_read
@@ -93,7 +94,7 @@
     uint64_t mExchange = 0;
     std::string mName;   // of the profile or team; empty: all
     uint32_t mLimit = 0; // rows
-    bool mSecond = false;
+    bool mReadingRefused = false;
     std::vector<table_row> mRows; // read so far
   };
   std::map<uint64_t, audit_read> mAuditReads; // by table request
--- a/shell/executor_daemon.cc
+++ b/shell/executor_daemon.cc
@@ -5,10 +5,10 @@
 namespace cactusmast {
 namespace {
 
-constexpr size_t kMaxAnnouncement = 4u << 20;
+constexpr size_t kMaxAnnouncementBytes = 4u << 20;
 // How often the addresses of entries are read while none is connected.
-constexpr duration kAskStoreInterval = milliseconds(2000);
-constexpr duration kAskForEvacuationsInterval = milliseconds(1000);
+constexpr duration kReadEntriesInterval = milliseconds(2000);
+constexpr duration kReadEvacuationsInterval = milliseconds(1000);
 // 2025-01-01 in seconds since 1970. A fencing token must exceed that of the
 // previous process here. Seconds since this day do, unless the clock was set
 // back; then the backend server refuses the token.
@@ -36,11 +36,11 @@
       aSettings.mInstance.mMechanisms)
   // Each executor has its own partition, so that many that start at once do not
   // queue at a single one.
-  , mRecord(aAdapter.mStore,
-            { aAdapter.mServerTable,
-              aSettings.mInstance.mName,
-              aSettings.mInstance.mName },
-            mLog)
+  , mServerRecord(aAdapter.mStore,
+                  { aAdapter.mServerTable,
+                    aSettings.mInstance.mName,
+                    aSettings.mInstance.mName },
+                  mLog)
   , mEvacuationRows(aAdapter.mEvacuations, mLog)
 {
 }
@@ -50,10 +50,10 @@
                         const executor_adapter& aAdapter)
 {
   return ResultOf<std::unique_ptr<executor_daemon>>([&] {
-    std::unique_ptr<executor_daemon> made(
+    std::unique_ptr<executor_daemon> daemon(
       new executor_daemon(aSettings, aAdapter));
-    made->Open();
-    return made;
+    daemon->Open();
+    return daemon;
   });
 }
 
@@ -61,18 +61,19 @@
 executor_daemon::Open()
 {
   OpenInstance();
-  mControl =
-    std::move(http_server::Create(
-                mSettings.mControl,
-                kMaxAnnouncement,
-                [this](http_exchange& aOne) { OnControlRequest(aOne); },
-                [](uint64_t) {})
-                .Value());
+  mControl = std::move(
+    http_server::Create(
+      mSettings.mControl,
+      kMaxAnnouncementBytes,
+      [this](http_exchange& aExchange) { OnControlRequest(aExchange); },
+      [](uint64_t) {})
+      .Value());
   mLog.Emit(event_code::ProcessStarted,
             { { "role", "executor" },
               { "control", mSettings.mControl },
               { "listen", mInstance.PeerAddress() } });
-  mRecord.Load([this](const std::string& aBytes) { OnRecord(aBytes); });
+  mServerRecord.Load(
+    [this](const std::string& aBytes) { OnServerRecord(aBytes); });
 }
 
 void
@@ -87,13 +88,13 @@
     mControl->Answer(aExchange.Id(), ErrorAnswer(decoded.Error()));
     return;
   }
-  const decoded_announcement& said = decoded.Value();
-  if (said.mKind == announcement_kind::Present) {
-    mExecutor.OnAnnouncement(said.mServer, Now());
+  const decoded_announcement& announcement = decoded.Value();
+  if (announcement.mKind == announcement_kind::Present) {
+    mExecutor.OnAnnouncement(announcement.mServer, Now());
   } else {
-    mExecutor.OnWithdrawal(said.mServer.mId, Now());
+    mExecutor.OnWithdrawal(announcement.mServer.mId, Now());
   }
-  StoreRecord();
+  StoreServerRecord();
   http_answer answer;
   answer.mBody = "{}";
   mControl->Answer(aExchange.Id(), answer);
@@ -101,7 +102,7 @@
 }
 
 void
-executor_daemon::OnRecord(const std::string& aBytes)
+executor_daemon::OnServerRecord(const std::string& aBytes)
 {
   result<server_announcement> record = DecodeServerRecord(aBytes);
   if (!record.Ok()) {
@@ -114,16 +115,16 @@
 }
 
 void
-executor_daemon::StoreRecord()
+executor_daemon::StoreServerRecord()
 {
   const server_announcement* server = mExecutor.Announcement();
   if (server == nullptr) {
     return;
   }
   if (server->mDraining) {
-    mRecord.Remove();
+    mServerRecord.Remove();
   } else {
-    mRecord.Set(EncodeServerRecord(*server));
+    mServerRecord.Set(EncodeServerRecord(*server));
   }
 }
 
@@ -184,9 +185,9 @@
 }
 
 void
-executor_daemon::Report(peer_id aEntry, const wire::server_report_msg& aSaid)
+executor_daemon::Report(peer_id aEntry, const wire::server_report_msg& aReport)
 {
-  mTransport->Send(aEntry, MakeMessage(aSaid));
+  mTransport->Send(aEntry, MakeMessage(aReport));
 }
 
 void
@@ -209,12 +210,12 @@
     return;
   }
   mReadingEntries = true;
-  mNextEntriesRead = aNow + kAskStoreInterval;
+  mNextEntriesRead = aNow + kReadEntriesInterval;
   mAdapter.mStore.ReadPart(
-    mAdapter.mEntryTable, "", [this](const store_reply& aAnswer) {
+    mAdapter.mEntryTable, "", [this](const store_reply& aReply) {
       mReadingEntries = false;
       std::vector<std::string> addresses;
-      for (const store_row& row : aAnswer.mRows) {
+      for (const store_row& row : aReply.mRows) {
         addresses.push_back(row.mKey);
       }
       AddEntries(addresses, "store", Now());
@@ -231,14 +232,14 @@
     return;
   }
   mReadingEvacuations = true;
-  mNextEvacuationsRead = aNow + kAskForEvacuationsInterval;
+  mNextEvacuationsRead = aNow + kReadEvacuationsInterval;
   mAdapter.mStore.ReadPart(
-    mAdapter.mConfigTable, "", [this](const store_reply& aAnswer) {
+    mAdapter.mConfigTable, "", [this](const store_reply& aReply) {
       mReadingEvacuations = false;
-      if (aAnswer.mStatus == store_status::Ok && !aAnswer.mMore) {
+      if (aReply.mStatus == store_status::Ok && !aReply.mMore) {
         instant now = Now();
         const evacuation_state& read =
-          mEvacuationRows.Apply({ aAnswer.mRows, aAnswer.mVersion, true });
+          mEvacuationRows.Apply({ aReply.mRows, aReply.mVersion, true });
         mExecutor.OnEvacuations(evacuation_update{ read, now }, now);
         TickSoon();
       }
@@ -254,7 +255,7 @@
   DialEntries(now, [](const std::string&) { return true; });
   ReadEntries(now);
   ReadEvacuations(now);
-  mRecord.Tick(now);
+  mServerRecord.Tick(now);
   mTransport->Flush();
   mTransport->Sweep();
 }
--- a/shell/executor_daemon.h
+++ b/shell/executor_daemon.h
@@ -48,7 +48,7 @@
   void OnPeerDown(peer_id aPeer) override;
   void OnPeerMessage(peer_id aPeer, const message& aMessage) override;
 
-  void Report(peer_id aEntry, const wire::server_report_msg& aSaid) override;
+  void Report(peer_id aEntry, const wire::server_report_msg& aReport) override;
   void Close(peer_id aEntry) override;
 
 protected:
@@ -71,15 +71,15 @@
   void ReadEvacuations(instant aNow);
   // Takes over the server record that an earlier process of this executor
   // stored.
-  void OnRecord(const std::string& aBytes);
+  void OnServerRecord(const std::string& aBytes);
   // Stores the record of the announced backend server; removes it once that one
   // drains.
-  void StoreRecord();
+  void StoreServerRecord();
 
   executor_settings mSettings;
   executor_adapter mAdapter;
   task_executor mExecutor;
-  stored_row mRecord; // of the backend server
+  stored_row mServerRecord; // of the backend server
   std::unique_ptr<http_server> mControl;
   std::map<peer_id, std::string> mEntryPeers; // their addresses
   bool mReadingEntries = false;
--- a/shell/guard_daemon.cc
+++ b/shell/guard_daemon.cc
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-constexpr size_t kMaxAnnouncement = 64u << 10; // bytes
+constexpr size_t kMaxAnnouncementBytes = 64u << 10;
 constexpr uint32_t kMaxSlots = 1024;
 
 failure
@@ -42,9 +42,9 @@
   if (!object.is_object()) {
     throw BadAnnouncement("the body must be a JSON object");
   }
-  backend_announcement made;
-  made.mUrl = object.value("url", "");
-  if (made.mUrl.rfind("http://127.", 0) != 0) {
+  backend_announcement announcement;
+  announcement.mUrl = object.value("url", "");
+  if (announcement.mUrl.rfind("http://127.", 0) != 0) {
     throw BadAnnouncement("url must be an http URL on the loopback address");
   }
   json services = object.value("services", json::array());
@@ -55,14 +55,14 @@
     if (!service.is_string()) {
       throw BadAnnouncement("services must be strings");
     }
-    made.mServices.push_back(service.get<std::string>());
+    announcement.mServices.push_back(service.get<std::string>());
   }
-  constexpr uint32_t kAny = 1u << 30;
-  made.mSlots = ReadCount(object, "slots", kMaxSlots);
-  made.mCpus = ReadCount(object, "cpus", kAny);
-  made.mMemoryMb = ReadCount(object, "memory_mb", kAny);
-  made.mAccelerators = ReadCount(object, "accelerators", kAny);
-  return made;
+  constexpr uint32_t kMaxCount = 1u << 30;
+  announcement.mSlots = ReadCount(object, "slots", kMaxSlots);
+  announcement.mCpus = ReadCount(object, "cpus", kMaxCount);
+  announcement.mMemoryMb = ReadCount(object, "memory_mb", kMaxCount);
+  announcement.mAccelerators = ReadCount(object, "accelerators", kMaxCount);
+  return announcement;
 }
 
 } // namespace
@@ -76,8 +76,8 @@
              mNode->OnTableReply(aReply, Now());
              TickSoon();
            })
-  , mBackend([this](const task_completion& aEnd) {
-    mNode->OnTaskEnded(aEnd, Now());
+  , mBackend([this](const task_completion& aCompletion) {
+    mNode->OnTaskEnded(aCompletion, Now());
     TickSoon();
   })
 {
@@ -87,9 +87,9 @@
 guard_daemon::Create(const guard_settings& aSettings)
 {
   return ResultOf<std::unique_ptr<guard_daemon>>([&] {
-    std::unique_ptr<guard_daemon> made(new guard_daemon(aSettings));
-    made->Open();
-    return made;
+    std::unique_ptr<guard_daemon> daemon(new guard_daemon(aSettings));
+    daemon->Open();
+    return daemon;
   });
 }
 
@@ -111,12 +111,13 @@
   transport.mSelf.mShard = mSettings.mShard;
   mTransport =
     std::move(peer_transport::Create(transport, *this, mLog).Value());
-  mHttp = std::move(http_server::Create(
-                      process.mHttp,
-                      kMaxAnnouncement,
-                      [this](http_exchange& aOne) { OnRequest(aOne); },
-                      [](uint64_t) {})
-                      .Value());
+  mHttp =
+    std::move(http_server::Create(
+                process.mHttp,
+                kMaxAnnouncementBytes,
+                [this](http_exchange& aExchange) { OnRequest(aExchange); },
+                [](uint64_t) {})
+                .Value());
   guard_options options;
   options.mName = process.mName;
   options.mShard = mSettings.mShard;
@@ -243,23 +244,23 @@
 guard_daemon::Metrics() const
 {
   metrics_page page;
-  const guard_counters& counts = mNode->Counters();
-  const transport_counters& links = mTransport->Counters();
+  const guard_counters& counters = mNode->Counters();
+  const transport_counters& transport = mTransport->Counters();
   page.Counter("cactusmast_guard_tasks_started_total",
                "Tasks started on the backend server.",
-               double(counts.mStarted));
+               double(counters.mStarted));
   page.Counter("cactusmast_guard_tasks_refused_total",
                "Dispatches refused, not run.",
-               double(counts.mRefused));
+               double(counters.mRefused));
   page.Counter("cactusmast_guard_tasks_succeeded_total",
                "Tasks that succeeded.",
-               double(counts.mSucceeded));
+               double(counters.mSucceeded));
   page.Counter("cactusmast_guard_tasks_failed_total",
                "Tasks that failed.",
-               double(counts.mFailed));
+               double(counters.mFailed));
   page.Counter("cactusmast_guard_tombstones_total",
                "Tasks revoked before they arrived.",
-               double(counts.mTombstones));
+               double(counters.mTombstones));
   page.Gauge(
     "cactusmast_guard_running_tasks", "Tasks running now.", mNode->Running());
   page.Gauge(
@@ -272,22 +273,22 @@
              double(mNode->ConfigVersion()));
   page.Counter("cactusmast_peer_bytes_received_total",
                "Bytes from entries.",
-               double(links.mBytesIn));
+               double(transport.mBytesIn));
   page.Counter("cactusmast_peer_bytes_sent_total",
                "Bytes to entries.",
-               double(links.mBytesOut));
+               double(transport.mBytesOut));
   page.Counter("cactusmast_peer_messages_received_total",
                "Messages from entries.",
-               double(links.mMessagesIn));
+               double(transport.mMessagesIn));
   page.Counter("cactusmast_peer_messages_sent_total",
                "Messages to entries.",
-               double(links.mMessagesOut));
+               double(transport.mMessagesOut));
   page.Counter("cactusmast_peer_protocol_errors_total",
                "Malformed or oversized frames.",
-               double(links.mProtocolErrors));
+               double(transport.mProtocolErrors));
   page.Counter("cactusmast_peer_refused_total",
                "Peers that could not prove the shared key.",
-               double(links.mRefusedPeers));
+               double(transport.mRefusedPeers));
   page.Counter("cactusmast_table_reads_total",
                "Reads of the platform's table.",
                double(mTable.Counters().mReads));
--- a/shell/instance_daemon.cc
+++ b/shell/instance_daemon.cc
@@ -7,36 +7,36 @@
 
 // A handshake takes four messages of under 15 ms each, and the other process
 // may be short of processor time.
-constexpr uint32_t kHandshakeLimitMs = 350;
+constexpr uint32_t kHandshakeTimeoutMs = 350;
 // The other machine's kernel accepts a connection after one round trip, at most
 // 30 ms. An address that has not accepted by then is dialled again: TCP resends
 // a lost SYN only after a second, in which an entry that has just restarted
 // would have no executors.
-constexpr uint32_t kConnectLimitMs = 100;
+constexpr uint32_t kConnectTimeoutMs = 100;
 // Part of the time to stop that is left for sending the last answers after the
 // drain.
-constexpr uint32_t kStopMarginMs = 600;
+constexpr uint32_t kDrainMarginMs = 600;
 // Short against the backoff between two dials of an entry, at least 100 ms.
 constexpr duration kDialCheckInterval = std::chrono::milliseconds(20);
 // Settings change a few times a day at most.
 constexpr duration kFileCheckInterval = std::chrono::seconds(2);
-constexpr size_t kMaxMetricsRequest = 4096;
+constexpr size_t kMaxMetricsRequestBytes = 4096;
 // The largest message is a configuration of some thousand routes.
-constexpr size_t kMaxFrame = 8u << 20;
+constexpr size_t kMaxFrameBytes = 8u << 20;
 // Limit of unsent output to a peer that does not read: an executor times out
 // within half a second, in which at most a few thousand dispatches are sent.
-constexpr size_t kMaxSend = 8u << 20;
+constexpr size_t kMaxUnsentBytes = 8u << 20;
 
 } // namespace
 
 instance_daemon::instance_daemon(const instance_settings& aSettings,
                                  process_role aRole,
-                                 const std::string& aDirectoryOwn)
+                                 const std::string& aOwnAddress)
   : mInstance(aSettings)
   , mRole(aRole)
   , mLog(aSettings.mName, severity::Info, log_stream::Output)
   , mIncarnation(MakeIncarnation())
-  , mDirectory(aDirectoryOwn)
+  , mDirectory(aOwnAddress)
 {
   for (const std::string& seed : aSettings.SeedAddresses()) {
     mDirectory.Add(seed, true, Now());
@@ -46,7 +46,7 @@
 uint32_t
 instance_daemon::DrainTimeMs() const
 {
-  return mInstance.mStopWithinMs - kStopMarginMs;
+  return mInstance.mStopWithinMs - kDrainMarginMs;
 }
 
 void
@@ -55,10 +55,10 @@
   transport_options transport;
   transport.mListen = mInstance.PeerAddress();
   transport.mSharedKey = mInstance.mSharedKey;
-  transport.mMaxFrame = kMaxFrame;
-  transport.mMaxSend = kMaxSend;
-  transport.mHandshakeLimitMs = kHandshakeLimitMs;
-  transport.mConnectLimitMs = kConnectLimitMs;
+  transport.mMaxFrame = kMaxFrameBytes;
+  transport.mMaxSend = kMaxUnsentBytes;
+  transport.mHandshakeLimitMs = kHandshakeTimeoutMs;
+  transport.mConnectLimitMs = kConnectTimeoutMs;
   transport.mKeepAlive = true;
   transport.mSelf.mRole = mRole;
   transport.mSelf.mName = mInstance.mName;
@@ -70,15 +70,15 @@
     std::move(peer_transport::Create(transport, *this, mLog).Value());
   mMetricsServer = std::move(http_server::Create(
                                mInstance.mMetrics,
-                               kMaxMetricsRequest,
-                               [this](http_exchange& aOne) {
+                               kMaxMetricsRequestBytes,
+                               [this](http_exchange& aExchange) {
                                  metrics_page page;
                                  AddMetrics(&page);
                                  AddProcessMetrics(&page);
                                  http_answer answer;
                                  answer.mType = "text/plain; version=0.0.4";
                                  answer.mBody = page.Render();
-                                 mMetricsServer->Answer(aOne.Id(), answer);
+                                 mMetricsServer->Answer(aExchange.Id(), answer);
                                },
                                [](uint64_t) {})
                                .Value());
@@ -127,14 +127,14 @@
 void
 instance_daemon::DialEntries(
   instant aNow,
-  const std::function<bool(const std::string&)>& aDialled)
+  const std::function<bool(const std::string&)>& aIsDialled)
 {
   if (aNow < mNextDial) {
     return;
   }
   mNextDial = aNow + kDialCheckInterval;
   for (const std::string& address : mDirectory.Due(aNow)) {
-    if (aDialled(address)) {
+    if (aIsDialled(address)) {
       mTransport->Connect(address);
     }
   }
--- a/shell/instance_daemon.h
+++ b/shell/instance_daemon.h
@@ -32,7 +32,7 @@
 protected:
   instance_daemon(const instance_settings& aSettings,
                   process_role aRole,
-                  const std::string& aDirectoryOwn);
+                  const std::string& aOwnAddress);
 
   // Opens the peer port and the metrics page; throws failure.
   void OpenInstance();
@@ -46,10 +46,10 @@
   // Reloads a settings file that was changed without a signal.
   void CheckSettingsFile(instant aNow);
 
-  // Dials entries that are due; aDialled(address) is whether this side dials
+  // Dials entries that are due; aIsDialled(address) is whether this side dials
   // it.
   void DialEntries(instant aNow,
-                   const std::function<bool(const std::string&)>& aDialled);
+                   const std::function<bool(const std::string&)>& aIsDialled);
   // Adds addresses that aSource has sent: the address of an entry, or "store".
   void AddEntries(const std::vector<std::string>& aAddresses,
                   const std::string& aSource,
