--- a/cmd/cactusmast_main.cc
+++ b/cmd/cactusmast_main.cc
@@ -155,7 +155,7 @@
     if (response.mFault != http_fault::None) {
       bool notSent = response.mFault == http_fault::Refused;
       throw failure(error_code::Unavailable,
-                    "ask entry",
+                    "send request",
                     mUrl,
                     response.mText,
                     notSent ? run_state::NotRun : run_state::Unknown);
--- a/shell/entry_daemon.cc
+++ b/shell/entry_daemon.cc
@@ -394,8 +394,10 @@
     mNode->Cancel(aExchange.Id(), teamName, id, wait, Now());
   } else {
     mOpenRequests.erase(aExchange.Id());
-    throw failure(
-      error_code::BadRequest, "read job", "caller", "GET or DELETE");
+    throw failure(error_code::BadRequest,
+                  "read job",
+                  "caller",
+                  "only GET and DELETE are allowed");
   }
 }
 
@@ -421,8 +423,8 @@
       throw failure(error_code::BadRequest,
                     "read change",
                     "operator",
-                    "X-Expected-Revision must be the revision you saw, or 0 "
-                    "to create");
+                    "X-Expected-Revision must be the revision that the change "
+                    "is based on, or 0 to create");
     }
     aChange.mExpectedRevision = value;
   }
@@ -447,8 +449,10 @@
   } else if (method == "PUT") {
     change.mProfile = ParseProfile(aExchange.Body()).Value();
   } else {
-    throw failure(
-      error_code::BadRequest, "read change", "operator", "GET, PUT or DELETE");
+    throw failure(error_code::BadRequest,
+                  "read change",
+                  "operator",
+                  "only GET, PUT and DELETE are allowed");
   }
   if (change.mProfile.mName != aName) {
     throw failure(error_code::BadRequest,
@@ -463,7 +467,8 @@
 entry_daemon::OnTeam(http_exchange& aExchange, const std::string& aName)
 {
   if (aExchange.Method() != "PUT") {
-    throw failure(error_code::BadRequest, "read change", "operator", "PUT");
+    throw failure(
+      error_code::BadRequest, "read change", "operator", "only PUT is allowed");
   }
   OperatorOf(aExchange);
   config_change change;
--- a/shell/instance_daemon.h
+++ b/shell/instance_daemon.h
@@ -30,6 +30,8 @@
   uint32_t DrainTimeMs() const;
 
 protected:
+  // aOwnAddress: the address of this process in the list of entries; empty when
+  // it is not an entry.
   instance_daemon(const instance_settings& aSettings,
                   process_role aRole,
                   const std::string& aOwnAddress);
