--- a/shell/coordinator_daemon.cc
+++ b/shell/coordinator_daemon.cc
@@ -526,7 +526,7 @@
                  "Jobs refused without being run.",
                  double(counts.mRefused));
   aPage->Counter("cactusmast_jobs_expired",
-                 "Jobs whose deadline passed.",
+                 "Jobs that ran out of time after a task may have started.",
                  double(counts.mExpired));
   aPage->Counter("cactusmast_jobs_given_up",
                  "Jobs whose callers disconnected.",
