--- a/cactusmast/testing/history.cc
+++ b/cactusmast/testing/history.cc
@@ -24,16 +24,16 @@
     CheckStarts();
     CheckAnswers();
     CheckRefusals();
-    CheckLeaving();
-    CheckPlannedStops();
+    CheckWithdrawals();
+    CheckDrains();
     CheckConfiguration();
-    return mFound;
+    return mViolations;
   }
 
 private:
   void Report(promise aPromise, const std::string& aText)
   {
-    mFound.push_back({ aPromise, aText });
+    mViolations.push_back({ aPromise, aText });
   }
 
   void Collect()
@@ -42,18 +42,18 @@
       if (event.mKind == event_kind::Submit) {
         mSubmits[event.mRequest] = &event;
         mIdempotent[event.mKey] = event.mIdempotent;
-      } else if (event.mKind == event_kind::Start) {
-        mStarts[{ event.mKey, event.mIndex }]++;
+      } else if (event.mKind == event_kind::TaskStarted) {
+        mStartCounts[{ event.mKey, event.mIndex }]++;
         mStartedKeys.insert(event.mKey);
       } else if (event.mKind == event_kind::Fault) {
-        mFaults = true;
+        mHasFaults = true;
       }
     }
   }
 
   void CheckStarts()
   {
-    for (const auto& [task, count] : mStarts) {
+    for (const auto& [task, count] : mStartCounts) {
       if (count <= 1) {
         continue;
       }
@@ -69,11 +69,11 @@
   void CheckAnswers()
   {
     std::set<uint64_t> answered;
-    std::map<std::string, const history_event*> decided;
+    std::map<std::string, const history_event*> firstAnswers;
     for (const history_event& event : mHistory) {
-      bool reply =
+      bool isReply =
         event.mKind == event_kind::Answer || event.mKind == event_kind::Refuse;
-      if (!reply) {
+      if (!isReply) {
         continue;
       }
       auto submit = mSubmits.find(event.mRequest);
@@ -89,8 +89,8 @@
                  " was answered twice");
       }
       if (event.mKind == event_kind::Answer) {
-        CheckWhole(event, submit->second->mCount);
-        CheckSame(event, &decided);
+        CheckAnswerTasks(event, submit->second->mCount);
+        CheckSameEnding(event, &firstAnswers);
       }
     }
     for (const auto& [request, submit] : mSubmits) {
@@ -102,7 +102,7 @@
     }
   }
 
-  void CheckWhole(const history_event& aAnswer, uint32_t aCount)
+  void CheckAnswerTasks(const history_event& aAnswer, uint32_t aCount)
   {
     if (aAnswer.mTasks.size() != aCount) {
       Report(promise::WholeAnswer,
@@ -113,7 +113,7 @@
     bool allSucceeded = true;
     for (uint32_t i = 0; i < aAnswer.mTasks.size(); i++) {
       const answered_task& task = aAnswer.mTasks[i];
-      task_key name{ aAnswer.mKey, i };
+      task_key key{ aAnswer.mKey, i };
       bool succeeded = task.mOutcome == "succeeded";
       allSucceeded = allSucceeded && succeeded;
       if (succeeded && task.mOutput != ExpectedOutput(aAnswer.mKey, i)) {
@@ -121,12 +121,13 @@
                aAnswer.mKey + "." + std::to_string(i) + " carries " +
                  task.mOutput);
       }
-      if (succeeded && mStarts.count(name) == 0) {
+      if (succeeded && mStartCounts.count(key) == 0) {
         Report(promise::WholeAnswer,
                aAnswer.mKey + "." + std::to_string(i) +
                  " succeeded without a start");
       }
-      if (!succeeded && task.mRun == "not_run" && mStarts.count(name) > 0) {
+      if (!succeeded && task.mRunState == "not_run" &&
+          mStartCounts.count(key) > 0) {
         Report(promise::RefusedNotRun,
                aAnswer.mKey + "." + std::to_string(i) +
                  " is said not to have run, but started");
@@ -140,16 +141,17 @@
   }
 
   // Two answers to one job must not differ.
-  void CheckSame(const history_event& aAnswer,
-                 std::map<std::string, const history_event*>* aDecided)
+  void CheckSameEnding(
+    const history_event& aAnswer,
+    std::map<std::string, const history_event*>* aFirstAnswers)
   {
-    auto [entry, first] = aDecided->emplace(aAnswer.mKey, &aAnswer);
-    if (first || mFaults) {
+    auto [earlier, isFirst] = aFirstAnswers->emplace(aAnswer.mKey, &aAnswer);
+    if (isFirst || mHasFaults) {
       return;
     }
-    if (entry->second->mText != aAnswer.mText) {
+    if (earlier->second->mText != aAnswer.mText) {
       Report(promise::WholeAnswer,
-             aAnswer.mKey + " was answered " + entry->second->mText +
+             aAnswer.mKey + " was answered " + earlier->second->mText +
                " and then " + aAnswer.mText);
     }
   }
@@ -165,7 +167,7 @@
     }
     std::map<uint64_t, bool> refusedAsNotRun;
     for (const history_event& event : mHistory) {
-      if (event.mKind == event_kind::Refuse && event.mRun == "not_run") {
+      if (event.mKind == event_kind::Refuse && event.mRunState == "not_run") {
         refusedAsNotRun[event.mRequest] = true;
       }
     }
@@ -182,32 +184,32 @@
     }
   }
 
-  void CheckLeaving()
+  void CheckWithdrawals()
   {
-    std::map<std::string, event_time> left;
+    std::map<std::string, event_time> withdrawnAt;
     for (const history_event& event : mHistory) {
-      if (event.mKind == event_kind::Left) {
-        left[event.mProcess] = event.mTime;
-      } else if (event.mKind == event_kind::Joined) {
-        left.erase(event.mProcess);
-      } else if (event.mKind == event_kind::Start) {
-        auto gone = left.find(event.mProcess);
-        if (gone != left.end() &&
-            event.mTime > gone->second + mOptions.mLeaveLimit) {
+      if (event.mKind == event_kind::Withdrawn) {
+        withdrawnAt[event.mProcess] = event.mTime;
+      } else if (event.mKind == event_kind::Announced) {
+        withdrawnAt.erase(event.mProcess);
+      } else if (event.mKind == event_kind::TaskStarted) {
+        auto withdrawal = withdrawnAt.find(event.mProcess);
+        if (withdrawal != withdrawnAt.end() &&
+            event.mTime > withdrawal->second + mOptions.mWithdrawalLimit) {
           Report(promise::NothingAfterLeaving,
-                 event.mProcess + " got " + event.mKey + " after it left");
+                 event.mProcess + " got " + event.mKey + " after it withdrew");
         }
       }
     }
   }
 
-  void CheckPlannedStops()
+  void CheckDrains()
   {
-    bool planned = std::any_of(
+    bool drained = std::any_of(
       mHistory.begin(), mHistory.end(), [](const history_event& aEvent) {
-        return aEvent.mKind == event_kind::PlannedStop;
+        return aEvent.mKind == event_kind::DrainBegan;
       });
-    if (!planned || mFaults) {
+    if (!drained || mHasFaults) {
       return;
     }
     for (const history_event& event : mHistory) {
@@ -223,27 +225,28 @@
   {
     std::map<std::string, uint64_t> inForce;
     std::set<std::string> alive;
-    std::map<std::string, event_time> since;
-    uint64_t newest = 0;
-    event_time newestAt{};
+    std::map<std::string, event_time> startedAt;
+    uint64_t newestVersion = 0;
+    event_time newestAcceptedAt{};
     event_time end = mHistory.empty() ? event_time{} : mHistory.back().mTime;
     for (const history_event& event : mHistory) {
-      if (newest > 0 && event.mTime > newestAt + mOptions.mConfigLimit) {
-        CheckLagging(alive, since, inForce, newest, event.mTime);
+      if (newestVersion > 0 &&
+          event.mTime > newestAcceptedAt + mOptions.mConfigLimit) {
+        CheckLagging(alive, startedAt, inForce, newestVersion, event.mTime);
       }
       switch (event.mKind) {
-        case event_kind::Started:
+        case event_kind::ProcessStarted:
           alive.insert(event.mProcess);
-          since[event.mProcess] = event.mTime;
+          startedAt[event.mProcess] = event.mTime;
           break;
-        case event_kind::Stopped:
+        case event_kind::ProcessStopped:
           alive.erase(event.mProcess);
           break;
-        case event_kind::Accepted:
-          newest = std::max(newest, event.mVersion);
-          newestAt = event.mTime;
+        case event_kind::ConfigAccepted:
+          newestVersion = std::max(newestVersion, event.mVersion);
+          newestAcceptedAt = event.mTime;
           break;
-        case event_kind::InForce:
+        case event_kind::ConfigInForce:
           if (event.mVersion < inForce[event.mProcess]) {
             Report(promise::ConfigurationInForce,
                    event.mProcess + " went back from version " +
@@ -256,15 +259,15 @@
           break;
       }
     }
-    if (newest > 0 && end > newestAt + mOptions.mConfigLimit) {
-      CheckLagging(alive, since, inForce, newest, end);
+    if (newestVersion > 0 && end > newestAcceptedAt + mOptions.mConfigLimit) {
+      CheckLagging(alive, startedAt, inForce, newestVersion, end);
     }
   }
 
   void CheckLagging(const std::set<std::string>& aAlive,
-                    const std::map<std::string, event_time>& aSince,
+                    const std::map<std::string, event_time>& aStartedAt,
                     const std::map<std::string, uint64_t>& aInForce,
-                    uint64_t aNewest,
+                    uint64_t aNewestVersion,
                     event_time aNow)
   {
     if (!mOptions.mConfigDeadline) {
@@ -272,12 +275,14 @@
     }
     for (const std::string& process : aAlive) {
       auto version = aInForce.find(process);
-      bool lags = version == aInForce.end() || version->second < aNewest;
-      bool young = aNow <= aSince.at(process) + mOptions.mConfigLimit;
-      if (lags && !young && mLagging.insert(process).second) {
+      bool lagging =
+        version == aInForce.end() || version->second < aNewestVersion;
+      bool recentlyStarted =
+        aNow <= aStartedAt.at(process) + mOptions.mConfigLimit;
+      if (lagging && !recentlyStarted && mLagging.insert(process).second) {
         Report(promise::ConfigurationInForce,
-               process + " does not have version " + std::to_string(aNewest) +
-                 " in force in time");
+               process + " does not have version " +
+                 std::to_string(aNewestVersion) + " in force in time");
       }
     }
   }
@@ -286,11 +291,11 @@
   const check_options& mOptions;
   std::map<uint64_t, const history_event*> mSubmits;
   std::map<std::string, bool> mIdempotent;
-  std::map<task_key, uint32_t> mStarts;
+  std::map<task_key, uint32_t> mStartCounts;
   std::set<std::string> mStartedKeys;
   std::set<std::string> mLagging;
-  bool mFaults = false;
-  std::vector<violation> mFound;
+  bool mHasFaults = false;
+  std::vector<violation> mViolations;
 };
 
 } // namespace
--- a/cactusmast/testing/history.h
+++ b/cactusmast/testing/history.h
@@ -16,26 +16,26 @@
 
 enum class event_kind : uint8_t
 {
-  Submit,      // a caller's request: mRequest, mKey, mCount tasks
-  Start,       // a backend server began a task: mProcess, mKey, mIndex
-  Answer,      // mRequest, mKey, mText "complete" or "failed", mTasks
-  Refuse,      // mRequest, mKey, mText error code, mRun
-  Left,        // a backend server withdrew or was withdrawn: mProcess
-  Joined,      // a backend server announced itself: mProcess
-  Accepted,    // a configuration version was accepted: mVersion
-  InForce,     // mProcess has mVersion in force
-  Started,     // a process of the system started: mProcess
-  Stopped,     // a process ended, planned or not: mProcess
-  PlannedStop, // a planned stop began: mProcess
-  Fault,       // something unplanned was done to the system
+  Submit,         // a caller's request: mRequest, mKey, mCount tasks
+  TaskStarted,    // a backend server began a task: mProcess, mKey, mIndex
+  Answer,         // mRequest, mKey, mText "complete" or "failed", mTasks
+  Refuse,         // mRequest, mKey, mText error code, mRunState
+  Withdrawn,      // a backend server withdrew or was withdrawn: mProcess
+  Announced,      // a backend server announced itself: mProcess
+  ConfigAccepted, // a configuration version was accepted: mVersion
+  ConfigInForce,  // mProcess has mVersion in force
+  ProcessStarted, // a process of the system started: mProcess
+  ProcessStopped, // a process ended, planned or not: mProcess
+  DrainBegan,     // a planned stop began: mProcess
+  Fault,          // something unplanned was done to the system
   Count
 };
 
 // A task's part of an answer.
 struct answered_task
 {
-  std::string mOutcome; // "succeeded", "failed"
-  std::string mRun;     // "not_run", "run", "unknown"
+  std::string mOutcome;  // "succeeded", "failed"
+  std::string mRunState; // "not_run", "run", "unknown"
   std::string mOutput;
 };
 
@@ -51,7 +51,7 @@
   uint32_t mCount = 0;
   uint64_t mVersion = 0;
   std::string mText;
-  std::string mRun;
+  std::string mRunState;
   std::vector<answered_task> mTasks;
 };
 
@@ -85,7 +85,7 @@
 
 struct check_options
 {
-  event_time mLeaveLimit = std::chrono::seconds(3);
+  event_time mWithdrawalLimit = std::chrono::seconds(3);
   event_time mConfigLimit = std::chrono::seconds(4);
   // Requests still open at the end of the history are violations.
   bool mAllAnswered = true;
--- a/cactusmast/testing/history_test.cc
+++ b/cactusmast/testing/history_test.cc
@@ -36,7 +36,7 @@
 history_event
 Start(int aSeconds, const std::string& aKey, uint32_t aIndex)
 {
-  history_event event = Event(aSeconds, event_kind::Start);
+  history_event event = Event(aSeconds, event_kind::TaskStarted);
   event.mProcess = "backend-1";
   event.mKey = aKey;
   event.mIndex = aIndex;
@@ -60,10 +60,10 @@
 }
 
 history_event
-Process(int aSeconds,
-        event_kind aKind,
-        const char* aName,
-        uint64_t aVersion = 0)
+ProcessEvent(int aSeconds,
+             event_kind aKind,
+             const char* aName,
+             uint64_t aVersion = 0)
 {
   history_event event = Event(aSeconds, aKind);
   event.mProcess = aName;
@@ -73,18 +73,18 @@
 
 // A run in which everything is as promised.
 history
-GoodHistory()
+CorrectHistory()
 {
-  return { Process(0, event_kind::Started, "entry-1"),
-           Process(0, event_kind::InForce, "entry-1", 1),
+  return { ProcessEvent(0, event_kind::ProcessStarted, "entry-1"),
+           ProcessEvent(0, event_kind::ConfigInForce, "entry-1", 1),
            Submit(1, 1, "a", 2),
            Start(2, "a", 0),
            Start(2, "a", 1),
            Answer(3, 1, "a", 2),
-           Process(4, event_kind::Accepted, "", 2),
-           Process(5, event_kind::InForce, "entry-1", 2),
-           Process(6, event_kind::PlannedStop, "entry-1"),
-           Process(7, event_kind::Stopped, "entry-1") };
+           ProcessEvent(4, event_kind::ConfigAccepted, "", 2),
+           ProcessEvent(5, event_kind::ConfigInForce, "entry-1", 2),
+           ProcessEvent(6, event_kind::DrainBegan, "entry-1"),
+           ProcessEvent(7, event_kind::ProcessStopped, "entry-1") };
 }
 
 struct broken_case
@@ -100,82 +100,85 @@
   static const std::vector<broken_case> kCases = {
     { "a task starts twice",
       promise::StartsAtMostOnce,
-      [](history& aRun) { aRun.insert(aRun.begin() + 5, Start(3, "a", 1)); } },
+      [](history& aHistory) {
+        aHistory.insert(aHistory.begin() + 5, Start(3, "a", 1));
+      } },
     { "a non-idempotent task starts twice",
       promise::NonIdempotentOnce,
-      [](history& aRun) {
-        aRun[2].mIdempotent = false;
-        aRun.insert(aRun.begin() + 5, Start(3, "a", 1));
+      [](history& aHistory) {
+        aHistory[2].mIdempotent = false;
+        aHistory.insert(aHistory.begin() + 5, Start(3, "a", 1));
       } },
     { "an answer lacks a task",
       promise::WholeAnswer,
-      [](history& aRun) { aRun[5].mTasks.pop_back(); } },
+      [](history& aHistory) { aHistory[5].mTasks.pop_back(); } },
     { "an answer is complete with a failed task",
       promise::WholeAnswer,
-      [](history& aRun) {
-        aRun[5].mTasks[0] = { "failed", "run", "" };
+      [](history& aHistory) {
+        aHistory[5].mTasks[0] = { "failed", "run", "" };
       } },
     { "a task succeeds without a start",
       promise::WholeAnswer,
-      [](history& aRun) { aRun.erase(aRun.begin() + 4); } },
+      [](history& aHistory) { aHistory.erase(aHistory.begin() + 4); } },
     { "the same job is answered differently",
       promise::WholeAnswer,
-      [](history& aRun) {
-        aRun.push_back(Submit(8, 2, "a", 2));
-        aRun.push_back(Answer(9, 2, "a", 2));
-        aRun.back().mText = "failed";
-        aRun.back().mTasks[0] = { "failed", "run", "" };
+      [](history& aHistory) {
+        aHistory.push_back(Submit(8, 2, "a", 2));
+        aHistory.push_back(Answer(9, 2, "a", 2));
+        aHistory.back().mText = "failed";
+        aHistory.back().mTasks[0] = { "failed", "run", "" };
       } },
     { "an answer carries another job's output",
       promise::OwnAnswer,
-      [](history& aRun) {
-        aRun[5].mTasks[0].mOutput = ExpectedOutput("b", 0);
+      [](history& aHistory) {
+        aHistory[5].mTasks[0].mOutput = ExpectedOutput("b", 0);
       } },
     { "an answer goes to another request",
       promise::OwnAnswer,
-      [](history& aRun) { aRun[5].mKey = "b"; } },
+      [](history& aHistory) { aHistory[5].mKey = "b"; } },
     { "a request is answered twice",
       promise::OwnAnswer,
-      [](history& aRun) { aRun.push_back(Answer(9, 1, "a", 2)); } },
+      [](history& aHistory) { aHistory.push_back(Answer(9, 1, "a", 2)); } },
     { "a request is never answered",
       promise::OwnAnswer,
-      [](history& aRun) { aRun.erase(aRun.begin() + 5); } },
+      [](history& aHistory) { aHistory.erase(aHistory.begin() + 5); } },
     { "a refused request runs",
       promise::RefusedNotRun,
-      [](history& aRun) {
-        aRun[5].mKind = event_kind::Refuse;
-        aRun[5].mRun = "not_run";
+      [](history& aHistory) {
+        aHistory[5].mKind = event_kind::Refuse;
+        aHistory[5].mRunState = "not_run";
       } },
     { "a task that is said not to have run starts",
       promise::RefusedNotRun,
-      [](history& aRun) {
-        aRun[5].mTasks[0] = { "failed", "not_run", "" };
-        aRun[5].mText = "failed";
+      [](history& aHistory) {
+        aHistory[5].mTasks[0] = { "failed", "not_run", "" };
+        aHistory[5].mText = "failed";
       } },
     { "a backend server gets work after it left",
       promise::NothingAfterLeaving,
-      [](history& aRun) {
-        aRun.push_back(Process(8, event_kind::Left, "backend-1"));
-        aRun.push_back(Submit(9, 2, "b", 1));
-        aRun.push_back(Start(12, "b", 0));
-        aRun.push_back(Answer(13, 2, "b", 1));
+      [](history& aHistory) {
+        aHistory.push_back(ProcessEvent(8, event_kind::Withdrawn, "backend-1"));
+        aHistory.push_back(Submit(9, 2, "b", 1));
+        aHistory.push_back(Start(12, "b", 0));
+        aHistory.push_back(Answer(13, 2, "b", 1));
       } },
     { "a planned stop cuts a request off",
       promise::PlannedStopCutsNothing,
-      [](history& aRun) {
-        aRun[5].mText = "failed";
-        aRun[5].mTasks[0] = { "failed", "unknown", "" };
+      [](history& aHistory) {
+        aHistory[5].mText = "failed";
+        aHistory[5].mTasks[0] = { "failed", "unknown", "" };
       } },
     { "a process goes back to an older configuration",
       promise::ConfigurationInForce,
-      [](history& aRun) {
-        aRun.insert(aRun.begin() + 8,
-                    Process(6, event_kind::InForce, "entry-1", 1));
+      [](history& aHistory) {
+        aHistory.insert(
+          aHistory.begin() + 8,
+          ProcessEvent(6, event_kind::ConfigInForce, "entry-1", 1));
       } },
     { "a configuration is not in force in time",
       promise::ConfigurationInForce,
-      [](history& aRun) {
-        aRun[7].mTime = aRun[8].mTime = aRun[9].mTime = seconds(20);
+      [](history& aHistory) {
+        aHistory[7].mTime = aHistory[8].mTime = aHistory[9].mTime = seconds(20);
       } },
   };
   return kCases;
@@ -185,17 +188,17 @@
 
 TEST_CASE("the checker finds nothing wrong with a good history")
 {
-  CHECK(Check(GoodHistory(), {}).empty());
+  CHECK(Check(CorrectHistory(), {}).empty());
 }
 
 TEST_CASE("the checker finds every broken promise")
 {
   for (const broken_case& broken : BrokenCases()) {
-    history run = GoodHistory();
-    broken.mBreak(run);
+    history changed = CorrectHistory();
+    broken.mBreak(changed);
     bool found = false;
-    for (const violation& one : Check(run, {})) {
-      found = found || one.mPromise == broken.mPromise;
+    for (const violation& reported : Check(changed, {})) {
+      found = found || reported.mPromise == broken.mPromise;
     }
     CHECK_MESSAGE(found, std::string(broken.mName));
   }
--- a/cactusmast/testing/world.cc
+++ b/cactusmast/testing/world.cc
@@ -147,7 +147,7 @@
                                                    mOptions.mGuardSafeguards);
   }
   history_event event;
-  event.mKind = event_kind::Started;
+  event.mKind = event_kind::ProcessStarted;
   event.mProcess = aProcess.mName;
   Record(event);
 }
@@ -166,7 +166,7 @@
                  aEvent.mIndex,
                  static_cast<unsigned long long>(aEvent.mRequest),
                  aEvent.mText.c_str(),
-                 aEvent.mRun.c_str());
+                 aEvent.mRunState.c_str());
   }
   mHistory.push_back(std::move(aEvent));
 }
--- a/cactusmast/testing/world_callers.cc
+++ b/cactusmast/testing/world_callers.cc
@@ -51,7 +51,7 @@
     aRequest.mOver = true;
     event.mKind = event_kind::Refuse;
     event.mText = "no_entry";
-    event.mRun = "not_run";
+    event.mRunState = "not_run";
     Record(event);
     Retry(id, seconds(1));
     return;
@@ -128,7 +128,7 @@
     event.mText = aReply.error == 0
                     ? "running"
                     : std::string(Name(error_code(aReply.error)));
-    event.mRun =
+    event.mRunState =
       aReply.error == 0 ? "unknown" : std::string(Name(run_state(aReply.run)));
   }
   Record(event);
@@ -154,7 +154,7 @@
     event.mRequest = id;
     event.mKey = mRequests[id].mRequest.mKey;
     event.mText = "connection_lost";
-    event.mRun = "unknown";
+    event.mRunState = "unknown";
     Record(event);
     Retry(id, kMinRetry);
   }
@@ -199,7 +199,7 @@
 {
   return uint32_t(std::count_if(
     mHistory.begin(), mHistory.end(), [&aKey](const history_event& aEvent) {
-      return aEvent.mKind == event_kind::Start && aEvent.mKey == aKey;
+      return aEvent.mKind == event_kind::TaskStarted && aEvent.mKey == aKey;
     }));
 }
 
--- a/cactusmast/testing/world_fakes.h
+++ b/cactusmast/testing/world_fakes.h
@@ -366,7 +366,7 @@
     }
     detail::parsed_payload payload = detail::ParsePayload(aTask.mPayload);
     history_event event;
-    event.mKind = event_kind::Start;
+    event.mKind = event_kind::TaskStarted;
     event.mProcess = "backend-" + std::to_string(mSelf.mNumber);
     event.mKey = payload.mKey;
     event.mIndex = payload.mIndex;
@@ -460,7 +460,7 @@
     mWorld.mChanges.push_back(aOutcome);
     if (aOutcome.mAccepted) {
       history_event event;
-      event.mKind = event_kind::Accepted;
+      event.mKind = event_kind::ConfigAccepted;
       event.mVersion = aOutcome.mVersion;
       mWorld.Record(event);
     }
@@ -488,7 +488,7 @@
       return;
     }
     history_event event;
-    event.mKind = event_kind::InForce;
+    event.mKind = event_kind::ConfigInForce;
     event.mProcess = mSelf.mName;
     event.mVersion = std::stoull(aFields.front().mValue);
     mWorld.Record(event);
--- a/cactusmast/testing/world_faults.cc
+++ b/cactusmast/testing/world_faults.cc
@@ -12,7 +12,7 @@
 {
   aProcess.mAlive = false;
   history_event event;
-  event.mKind = event_kind::Stopped;
+  event.mKind = event_kind::ProcessStopped;
   event.mProcess = aProcess.mName;
   Record(event);
   std::vector<uint64_t> links;
@@ -64,7 +64,7 @@
   Boot(again);
   if (!again.mIsEntry) {
     history_event event;
-    event.mKind = event_kind::Joined;
+    event.mKind = event_kind::Announced;
     event.mProcess = "backend-" + std::to_string(again.mNumber);
     Record(event);
   }
@@ -104,14 +104,14 @@
   }
   leaving.mDraining = true;
   history_event event;
-  event.mKind = event_kind::PlannedStop;
+  event.mKind = event_kind::DrainBegan;
   event.mProcess = aName;
   Record(event);
   if (leaving.mIsEntry) {
     leaving.mEntry->BeginDrain(mNow);
     return;
   }
-  event.mKind = event_kind::Left;
+  event.mKind = event_kind::Withdrawn;
   event.mProcess = "backend-" + std::to_string(leaving.mNumber);
   Record(event);
   leaving.mGuard->BeginDrain(mNow);
@@ -196,7 +196,7 @@
   process& beside = Find("guard-" + std::to_string(aGuard));
   beside.mServer.mAnnounced = false;
   history_event event;
-  event.mKind = event_kind::Left;
+  event.mKind = event_kind::Withdrawn;
   event.mProcess = "backend-" + std::to_string(aGuard);
   Record(event);
   Deliver(beside, [this, &beside] { beside.mGuard->Withdraw(mNow); });
@@ -210,7 +210,7 @@
   beside.mServer.mAlive = false;
   beside.mServer.mLife++;
   history_event event;
-  event.mKind = event_kind::Left;
+  event.mKind = event_kind::Withdrawn;
   event.mProcess = "backend-" + std::to_string(aGuard);
   Record(event);
   beside.mBackend->LoseAll();
@@ -223,7 +223,7 @@
   beside.mServer.mAlive = true;
   beside.mServer.mAnnounced = true;
   history_event event;
-  event.mKind = event_kind::Joined;
+  event.mKind = event_kind::Announced;
   event.mProcess = "backend-" + std::to_string(aGuard);
   Record(event);
 }
