--- a/cactusmast/testing/random_test.cc
+++ b/cactusmast/testing/random_test.cc
@@ -1,5 +1,5 @@
 // Random schedules of faults on the virtual clock, checked against all
-// promises. A failing seed prints its shortest schedule. With
+// promises. A failing seed prints its shrunk schedule. With
 // CACTUSMAST_SOAK=N it runs N seeds from CACTUSMAST_SEED on.
 
 #include <cstdio>
@@ -53,9 +53,9 @@
 {
   fault_kind mKind;
   milliseconds mAt;
-  milliseconds mLasts;
-  uint32_t mFirst;  // which entry or guard
-  uint32_t mSecond; // the other end of a link
+  milliseconds mDuration;
+  uint32_t mFirstIndex;  // which entry or guard
+  uint32_t mSecondIndex; // the other end of a link
 };
 
 struct schedule
@@ -71,22 +71,22 @@
 MakeSchedule(uint64_t aSeed)
 {
   std::mt19937_64 random(aSeed);
-  schedule made;
-  made.mSeed = aSeed;
-  made.mEntries = 2 + random() % 2;
-  made.mGuards = 2 + random() % 3;
-  made.mShards = random() % 4 == 0 ? 2 : 1;
+  schedule result;
+  result.mSeed = aSeed;
+  result.mEntries = 2 + random() % 2;
+  result.mGuards = 2 + random() % 3;
+  result.mShards = random() % 4 == 0 ? 2 : 1;
   size_t count = 1 + random() % 5;
   for (size_t i = 0; i < count; i++) {
     planned_fault fault;
     fault.mKind = fault_kind(random() % uint64_t(fault_kind::Count));
     fault.mAt = milliseconds(random() % 6000);
-    fault.mLasts = milliseconds(100 + random() % 9000);
-    fault.mFirst = uint32_t(random() % 12);
-    fault.mSecond = uint32_t(random() % 12);
-    made.mFaults.push_back(fault);
+    fault.mDuration = milliseconds(100 + random() % 9000);
+    fault.mFirstIndex = uint32_t(random() % 12);
+    fault.mSecondIndex = uint32_t(random() % 12);
+    result.mFaults.push_back(fault);
   }
-  return made;
+  return result;
 }
 
 std::string
@@ -109,30 +109,30 @@
     options.mShards = aSchedule.mShards;
     options.mEntrySafeguards = aSafeguards.mEntry;
     options.mGuardSafeguards = aSafeguards.mGuard;
-    constexpr seconds kLastRetry{ 1080 };
-    options.mRetryUntil = kLastRetry;
+    constexpr seconds kResubmitUntil{ 1080 };
+    options.mResubmitUntil = kResubmitUntil;
     mWorld = PrepareWorld(options);
   }
 
   std::vector<violation> Run()
   {
-    instant zero = mWorld->Now();
-    PlanLoad(zero);
+    instant start = mWorld->Now();
+    ScheduleLoad(start);
     for (const planned_fault& fault : mSchedule.mFaults) {
-      mWorld->At(zero + fault.mAt, [this, fault] { Begin(fault); });
-      mWorld->At(zero + fault.mAt + fault.mLasts,
-                 [this, fault] { End(fault); });
+      mWorld->At(start + fault.mAt, [this, fault] { BeginFault(fault); });
+      mWorld->At(start + fault.mAt + fault.mDuration,
+                 [this, fault] { EndFault(fault); });
     }
-    // All is whole again after 16 s; jobs end by their deadlines, and nobody
-    // comes back later than the retention allows.
-    mWorld->RunUntil(zero + seconds(120));
+    // All is whole again after 16 s; jobs end by their deadlines, and
+    // nobody comes back later than the retention allows.
+    mWorld->RunUntil(start + seconds(120));
     check_options options;
     options.mConfigDeadline = false; // cut-off processes are excused here
     return Check(mWorld->History(), options);
   }
 
 private:
-  void PlanLoad(instant aZero)
+  void ScheduleLoad(instant aStart)
   {
     for (uint32_t i = 0; i < 12; i++) {
       caller_request request;
@@ -141,46 +141,46 @@
       request.mRun = milliseconds(50 + 60 * i);
       request.mEntry = 1 + i % mSchedule.mEntries;
       request.mProfile = i % 3 == 0 ? "confirm-cut" : "quote";
-      mWorld->At(aZero + milliseconds(500 * i),
+      mWorld->At(aStart + milliseconds(500 * i),
                  [this, request] { mWorld->Submit(request); });
       if (i % 4 == 0) {
         // Believed lost, and submitted again elsewhere.
-        caller_request again = request;
-        again.mEntry++;
-        again.mPersistent = false;
-        mWorld->At(aZero + milliseconds(500 * i + 900),
-                   [this, again] { mWorld->Submit(again); });
+        caller_request duplicate = request;
+        duplicate.mEntry++;
+        duplicate.mPersistent = false;
+        mWorld->At(aStart + milliseconds(500 * i + 900),
+                   [this, duplicate] { mWorld->Submit(duplicate); });
       }
     }
   }
 
   std::string EntryName(const planned_fault& aFault) const
   {
-    return Pick("entry", aFault.mFirst, mSchedule.mEntries);
+    return Pick("entry", aFault.mFirstIndex, mSchedule.mEntries);
   }
 
   std::string GuardName(const planned_fault& aFault) const
   {
-    return Pick("guard", aFault.mFirst, mSchedule.mGuards);
+    return Pick("guard", aFault.mFirstIndex, mSchedule.mGuards);
   }
 
   uint32_t GuardNumber(const planned_fault& aFault) const
   {
-    return aFault.mFirst % mSchedule.mGuards + 1;
+    return aFault.mFirstIndex % mSchedule.mGuards + 1;
   }
 
   std::string OtherEnd(const planned_fault& aFault) const
   {
-    return Pick("entry", aFault.mSecond, mSchedule.mEntries);
+    return Pick("entry", aFault.mSecondIndex, mSchedule.mEntries);
   }
 
   std::string LinkEnd(const planned_fault& aFault) const
   {
-    bool entry = aFault.mSecond % 3 == 0;
+    bool entry = aFault.mSecondIndex % 3 == 0;
     return entry ? EntryName(aFault) : GuardName(aFault);
   }
 
-  void Begin(const planned_fault& aFault)
+  void BeginFault(const planned_fault& aFault)
   {
     switch (aFault.mKind) {
       case fault_kind::KillEntry:
@@ -221,49 +221,50 @@
         mWorld->Block(OtherEnd(aFault), LinkEnd(aFault));
         break;
       case fault_kind::DelayLink:
-        mWorld->Delay(OtherEnd(aFault), LinkEnd(aFault), aFault.mLasts / 4);
+        mWorld->Delay(OtherEnd(aFault), LinkEnd(aFault), aFault.mDuration / 4);
         break;
       case fault_kind::TableDown:
-        mWorld->NoteFault();
+        mWorld->RecordFault();
         mWorld->SetTable({ true, duration(0), 0 });
         break;
       case fault_kind::TableLosesReplies:
-        mWorld->NoteFault();
+        mWorld->RecordFault();
         mWorld->SetTable({ false, duration(0), 0.5 });
         break;
       case fault_kind::Change:
-        Change(aFault);
+        ChangeProfile(aFault);
         break;
       case fault_kind::OldConfig:
         mWorld->PushOldConfig(2);
         break;
       case fault_kind::SlowBackend:
-        mWorld->NoteFault();
+        mWorld->RecordFault();
         mWorld->SetBackend(GuardNumber(aFault), 0.05, 0.3);
         break;
       case fault_kind::Cancel:
-        mWorld->NoteFault();
-        CancelAt(aFault);
+        mWorld->RecordFault();
+        CancelJob(aFault);
         break;
       case fault_kind::Count:
         break;
     }
   }
 
-  void CancelAt(const planned_fault& aFault)
+  void CancelJob(const planned_fault& aFault)
   {
-    mWorld->Cancel("job-" + std::to_string(aFault.mFirst),
-                   aFault.mSecond % mSchedule.mEntries + 1);
+    mWorld->Cancel("job-" + std::to_string(aFault.mFirstIndex),
+                   aFault.mSecondIndex % mSchedule.mEntries + 1);
   }
 
-  void Change(const planned_fault& aFault)
+  void ChangeProfile(const planned_fault& aFault)
   {
     profile changed = ScenarioProfiles()[0];
-    changed.mDeadlineMs = 20000 + aFault.mFirst;
-    mWorld->PutProfile(aFault.mSecond % mSchedule.mEntries + 1, changed, 1);
+    changed.mDeadlineMs = 20000 + aFault.mFirstIndex;
+    mWorld->PutProfile(
+      aFault.mSecondIndex % mSchedule.mEntries + 1, changed, 1);
   }
 
-  void End(const planned_fault& aFault)
+  void EndFault(const planned_fault& aFault)
   {
     switch (aFault.mKind) {
       case fault_kind::KillEntry:
@@ -314,15 +315,15 @@
 
 // Drops faults one by one for as long as the promise stays broken.
 schedule
-Shorten(schedule aSchedule)
+ShrinkSchedule(schedule aSchedule)
 {
   for (size_t i = 0; i < aSchedule.mFaults.size();) {
-    schedule fewer = aSchedule;
-    fewer.mFaults.erase(fewer.mFaults.begin() + long(i));
-    if (schedule_run(fewer).Run().empty()) {
+    schedule candidate = aSchedule;
+    candidate.mFaults.erase(candidate.mFaults.begin() + long(i));
+    if (schedule_run(candidate).Run().empty()) {
       i++;
     } else {
-      aSchedule = fewer;
+      aSchedule = candidate;
     }
   }
   return aSchedule;
@@ -337,15 +338,16 @@
                      std::to_string(aSchedule.mShards) + " shards";
   for (const planned_fault& fault : aSchedule.mFaults) {
     text += "\n  at " + std::to_string(fault.mAt.count()) + " ms for " +
-            std::to_string(fault.mLasts.count()) +
+            std::to_string(fault.mDuration.count()) +
             " ms: " + kFaultNames[size_t(fault.mKind)] + " " +
-            std::to_string(fault.mFirst) + " " + std::to_string(fault.mSecond);
+            std::to_string(fault.mFirstIndex) + " " +
+            std::to_string(fault.mSecondIndex);
   }
   return text;
 }
 
 uint64_t
-FromEnvironment(const char* aName, uint64_t aDefault)
+ReadEnvironment(const char* aName, uint64_t aDefault)
 {
   const char* text = std::getenv(aName);
   return text == nullptr ? aDefault : std::strtoull(text, nullptr, 10);
@@ -355,19 +357,19 @@
 
 TEST_CASE("random schedules of faults break no promise")
 {
-  uint64_t first = FromEnvironment("CACTUSMAST_SEED", 1);
-  uint64_t count = FromEnvironment("CACTUSMAST_SOAK", 2000);
+  uint64_t first = ReadEnvironment("CACTUSMAST_SEED", 1);
+  uint64_t count = ReadEnvironment("CACTUSMAST_SOAK", 2000);
   for (uint64_t seed = first; seed < first + count; seed++) {
     schedule planned = MakeSchedule(seed);
-    std::vector<violation> broken = schedule_run(planned).Run();
-    if (broken.empty()) {
+    std::vector<violation> violations = schedule_run(planned).Run();
+    if (violations.empty()) {
       continue;
     }
-    schedule shortest = Shorten(planned);
-    std::vector<violation> left = schedule_run(shortest).Run();
-    std::string text = Describe(shortest);
-    for (size_t i = 0; i < left.size() && i < 5; i++) {
-      text += "\n  " + Name(left[i].mPromise) + ": " + left[i].mText;
+    schedule shrunk = ShrinkSchedule(planned);
+    std::vector<violation> remaining = schedule_run(shrunk).Run();
+    std::string text = Describe(shrunk);
+    for (size_t i = 0; i < remaining.size() && i < 5; i++) {
+      text += "\n  " + Name(remaining[i].mPromise) + ": " + remaining[i].mText;
     }
     FAIL_CHECK(text);
   }
@@ -384,18 +386,18 @@
     [](s& aSet) { aSet.mEntry.mConfig.mMonotonicVersion = false; },
     [](s& aSet) { aSet.mGuard.mMonotonicConfig = false; },
   };
-  int number = 0;
-  for (const auto& switchOff : kMutants) {
-    scenario_safeguards without;
-    switchOff(without);
+  int mutant = 0;
+  for (const auto& switchOffSafeguard : kMutants) {
+    scenario_safeguards safeguards;
+    switchOffSafeguard(safeguards);
     constexpr uint64_t kSeeds = 400;
     bool found = false;
     for (uint64_t seed = 1; seed <= kSeeds && !found; seed++) {
       schedule planned = MakeSchedule(seed);
-      found = !schedule_run(planned, without).Run().empty();
+      found = !schedule_run(planned, safeguards).Run().empty();
     }
-    CHECK_MESSAGE(found, "mutant ", number);
-    number++;
+    CHECK_MESSAGE(found, "mutant ", mutant);
+    mutant++;
   }
 }
 
--- a/cactusmast/testing/world.cc
+++ b/cactusmast/testing/world.cc
@@ -33,7 +33,7 @@
 
 namespace {
 
-constexpr milliseconds kRenewInterval{ 500 };
+constexpr milliseconds kAnnouncementInterval{ 500 };
 
 } // namespace
 
@@ -42,14 +42,14 @@
   , mRandom(aOptions.mSeed)
 {
   auto add = [this](const std::string& aKind, bool aIsEntry, uint32_t aNumber) {
-    auto made = std::make_unique<process>();
-    made->mName = aKind + "-" + std::to_string(aNumber);
-    made->mIsEntry = aIsEntry;
-    made->mNumber = aNumber;
-    made->mServer.mSlots = mOptions.mSlots;
-    process& added = *made;
-    mProcesses[added.mName] = std::move(made);
-    Boot(added);
+    auto created = std::make_unique<process>();
+    created->mName = aKind + "-" + std::to_string(aNumber);
+    created->mIsEntry = aIsEntry;
+    created->mNumber = aNumber;
+    created->mServer.mSlots = mOptions.mSlots;
+    process& added = *created;
+    mProcesses[added.mName] = std::move(created);
+    StartProcess(added);
   };
   for (uint32_t i = 1; i <= mOptions.mEntries; i++) {
     add("entry", true, i);
@@ -95,13 +95,13 @@
 }
 
 void
-world::Boot(process& aProcess)
+world::StartProcess(process& aProcess)
 {
   aProcess.mAlive = true;
   aProcess.mPaused = false;
   aProcess.mDraining = false;
   aProcess.mIncarnation = mNextIncarnation++;
-  aProcess.mDeferred.clear();
+  aProcess.mDeferredInputs.clear();
   aProcess.mNetwork = std::make_unique<fake_network>(*this, aProcess);
   if (aProcess.mTable == nullptr) {
     // Requests under way refer to it, so it lives as long as the world.
@@ -174,17 +174,17 @@
 void
 world::At(instant aTime, std::function<void()> aAction)
 {
-  mAgenda.emplace(std::max(aTime, mNow), std::move(aAction));
+  mScheduled.emplace(std::max(aTime, mNow), std::move(aAction));
 }
 
 void
 world::RunUntil(instant aTime)
 {
-  while (!mAgenda.empty() && mAgenda.begin()->first <= aTime) {
-    auto next = mAgenda.begin();
+  while (!mScheduled.empty() && mScheduled.begin()->first <= aTime) {
+    auto next = mScheduled.begin();
     mNow = next->first;
     std::function<void()> action = std::move(next->second);
-    mAgenda.erase(next);
+    mScheduled.erase(next);
     action();
   }
   mNow = aTime;
@@ -197,7 +197,7 @@
     return;
   }
   if (aTo.mPaused) {
-    aTo.mDeferred.push_back(std::move(aInput));
+    aTo.mDeferredInputs.push_back(std::move(aInput));
     return;
   }
   aInput();
@@ -214,17 +214,18 @@
 void
 world::TickAll()
 {
-  bool renew = (mNow / mOptions.mTick) % (kRenewInterval / mOptions.mTick) == 0;
+  bool announcementsDue =
+    (mNow / mOptions.mTick) % (kAnnouncementInterval / mOptions.mTick) == 0;
   std::vector<std::string> drained;
   for (auto& [name, one] : mProcesses) {
     if (!one->mAlive) {
       continue;
     }
-    bool announces = !one->mIsEntry && renew && one->mServer.mAlive &&
-                     one->mServer.mAnnounced && !one->mDraining;
-    if (announces) {
-      process* beside = one.get();
-      Deliver(*beside, [this, beside] { Renew(*beside); });
+    bool renews = !one->mIsEntry && announcementsDue && one->mServer.mAlive &&
+                  one->mServer.mAnnounced && !one->mDraining;
+    if (renews) {
+      process* guard = one.get();
+      Deliver(*guard, [this, guard] { RenewAnnouncement(*guard); });
     }
     if (one->mPaused) {
       continue;
@@ -239,7 +240,7 @@
   for (const std::string& name : drained) {
     At(mNow + milliseconds(50), [this, name] {
       if (Find(name).mAlive && Find(name).mDraining) {
-        Disconnect(Find(name), true);
+        StopProcess(Find(name), true);
       }
     });
   }
@@ -247,55 +248,59 @@
 }
 
 void
-world::Renew(process& aBeside)
+world::RenewAnnouncement(process& aGuard)
 {
   backend_announcement server;
-  server.mUrl = aBeside.mName;
+  server.mUrl = aGuard.mName;
   server.mServices = { "ordering" };
-  server.mSlots = aBeside.mServer.mSlots;
-  server.mAccelerators = aBeside.mServer.mAccelerators;
-  if (!aBeside.mGuard->IsDraining()) {
-    aBeside.mGuard->Announce(server, mNow);
+  server.mSlots = aGuard.mServer.mSlots;
+  server.mAccelerators = aGuard.mServer.mAccelerators;
+  if (!aGuard.mGuard->IsDraining()) {
+    aGuard.mGuard->Announce(server, mNow);
   }
 }
 
 bool
-world::Blocked(const std::string& aFrom, const std::string& aTo) const
+world::IsBlocked(const std::string& aFrom, const std::string& aTo) const
 {
-  return mBlocked.count({ aFrom, aTo }) > 0;
+  return mBlockedDirections.count({ aFrom, aTo }) > 0;
 }
 
 void
-world::CloseLink(uint64_t aLink, const std::string& aBy, bool aTell)
+world::CloseConnection(uint64_t aConnection,
+                       const std::string& aCloser,
+                       bool aNotify)
 {
-  pipe& closed = *mPipes.at(aLink);
-  if (!closed.mOpen) {
+  connection& link = *mConnections.at(aConnection);
+  if (!link.mOpen) {
     return;
   }
-  std::string other = closed.mLeft == aBy ? closed.mRight : closed.mLeft;
-  peer_id here = closed.mLeft == aBy ? closed.mAtLeft : closed.mAtRight;
-  peer_id there = closed.mLeft == aBy ? closed.mAtRight : closed.mAtLeft;
-  Find(aBy).mLinks.erase(here);
-  bool heard = aTell && !closed.mSilent && !Blocked(aBy, other);
-  if (!heard) {
+  std::string other = link.mLeft == aCloser ? link.mRight : link.mLeft;
+  peer_id localPeer =
+    link.mLeft == aCloser ? link.mPeerAtLeft : link.mPeerAtRight;
+  peer_id remotePeer =
+    link.mLeft == aCloser ? link.mPeerAtRight : link.mPeerAtLeft;
+  Find(aCloser).mConnectionIds.erase(localPeer);
+  bool notified = aNotify && !link.mSilent && !IsBlocked(aCloser, other);
+  if (!notified) {
     // The other end is never told; what it sends is lost.
-    closed.mSilent = true;
+    link.mSilent = true;
     return;
   }
-  closed.mOpen = false;
+  link.mOpen = false;
   // What was sent before the end still arrives, and the end after it.
   instant arrival =
-    std::max(mNow + mOptions.mLatency, closed.mLastArrival[aBy]);
-  At(arrival, [this, other, there] {
+    std::max(mNow + mOptions.mLatency, link.mLastArrival[aCloser]);
+  At(arrival, [this, other, remotePeer] {
     process& target = Find(other);
-    Deliver(target, [this, &target, there] {
-      if (target.mLinks.erase(there) == 0) {
+    Deliver(target, [this, &target, remotePeer] {
+      if (target.mConnectionIds.erase(remotePeer) == 0) {
         return;
       }
       if (target.mIsEntry) {
-        target.mEntry->OnPeerDown(there, mNow);
+        target.mEntry->OnPeerDown(remotePeer, mNow);
       } else {
-        target.mGuard->OnPeerDown(there, mNow);
+        target.mGuard->OnPeerDown(remotePeer, mNow);
       }
     });
   });
--- a/cactusmast/testing/world.h
+++ b/cactusmast/testing/world.h
@@ -31,7 +31,7 @@
   duration mRetention = std::chrono::minutes(5);
   bool mCountBytes = false;
   // Callers do not come back after this time.
-  instant mRetryUntil = instant::max();
+  instant mResubmitUntil = instant::max();
   entry_safeguards mEntrySafeguards;
   guard_safeguards mGuardSafeguards;
   health_options mHealth;
@@ -97,10 +97,10 @@
   void WithdrawBackend(uint32_t aGuard);
   void KillBackend(uint32_t aGuard);
   void AnnounceBackend(uint32_t aGuard);
-  void SetBackend(uint32_t aGuard, double aSpeed, double aFail);
+  void SetBackend(uint32_t aGuard, double aSpeed, double aFailureRate);
   void SetSlots(uint32_t aGuard, uint32_t aSlots);
   void SetAccelerators(uint32_t aGuard, uint32_t aCount);
-  void NoteFault();
+  void RecordFault();
 
   const history& History() const { return mHistory; }
   // Answers by key, in order; "refused:CODE" for refusals.
@@ -119,7 +119,7 @@
 
 private:
   struct process;
-  struct pipe;
+  struct connection;
   class fake_network;
   class fake_table;
   class fake_backend;
@@ -137,38 +137,40 @@
     caller_request mRequest;
     uint64_t mId = 0;
     std::string mEntry;
-    bool mOver = false;
+    bool mEnded = false;
   };
 
   void Record(history_event aEvent);
-  void Boot(process& aProcess);
+  void StartProcess(process& aProcess);
   void TickAll();
-  void Renew(process& aBeside);
+  void RenewAnnouncement(process& aGuard);
   void Deliver(process& aTo, std::function<void()> aInput);
-  void Disconnect(process& aProcess, bool aTellPeers);
-  void CloseLink(uint64_t aLink, const std::string& aBy, bool aTell);
+  void StopProcess(process& aProcess, bool aNotifyPeers);
+  void CloseConnection(uint64_t aConnection,
+                       const std::string& aCloser,
+                       bool aNotify);
   void SendSubmit(open_request& aRequest);
-  void Retry(uint64_t aId, duration aAfter);
+  void ScheduleResubmission(uint64_t aId, duration aDelay);
   void OnReply(uint64_t aId, const wire::job_reply_msg& aReply);
-  void LoseCallers(const std::string& aEntry);
+  void DisconnectCallers(const std::string& aEntry);
   process& Find(const std::string& aName);
-  bool Blocked(const std::string& aFrom, const std::string& aTo) const;
+  bool IsBlocked(const std::string& aFrom, const std::string& aTo) const;
 
   world_options mOptions;
   instant mNow = std::chrono::seconds(1000);
   std::mt19937_64 mRandom;
-  std::multimap<instant, std::function<void()>> mAgenda;
+  std::multimap<instant, std::function<void()>> mScheduled;
   std::map<std::string, std::unique_ptr<process>> mProcesses;
-  std::map<uint64_t, std::unique_ptr<pipe>> mPipes;
-  uint64_t mNextPipe = 1;
+  std::map<uint64_t, std::unique_ptr<connection>> mConnections;
+  uint64_t mNextConnection = 1;
   uint64_t mNextIncarnation = 1;
   peer_id mNextPeer = 1;
-  std::set<std::pair<std::string, std::string>> mBlocked;
+  std::set<std::pair<std::string, std::string>> mBlockedDirections;
   std::map<std::pair<std::string, std::string>, duration> mDelays;
   table_faults mTableFaults;
   std::map<std::string, table_row> mRows;
   uint64_t mRowVersion = 0;
-  uint64_t mTableRequest = 0;
+  uint64_t mLastTableRequest = 0;
   uint64_t mTableWrites = 0;
   uint64_t mTableReads = 0;
   std::map<std::string, uint64_t> mBytesSent;
--- a/cactusmast/testing/world_callers.cc
+++ b/cactusmast/testing/world_callers.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr milliseconds kMinRetry{ 200 };
-constexpr uint32_t kMaxAttempts = 60;
+constexpr milliseconds kMinResubmitDelay{ 200 };
+constexpr uint32_t kMaxSubmissions = 60;
 
 } // namespace
 
@@ -29,11 +29,11 @@
 void
 world::SendSubmit(open_request& aRequest)
 {
-  const caller_request& wanted = aRequest.mRequest;
+  const caller_request& request = aRequest.mRequest;
   // The balancer passes over entries that are known to be gone.
   process* entry = nullptr;
   for (uint32_t i = 0; i < mOptions.mEntries && entry == nullptr; i++) {
-    uint32_t number = (wanted.mEntry - 1 + i) % mOptions.mEntries + 1;
+    uint32_t number = (request.mEntry - 1 + i) % mOptions.mEntries + 1;
     process& candidate = Find("entry-" + std::to_string(number));
     if (candidate.mAlive && !candidate.mDraining) {
       entry = &candidate;
@@ -43,32 +43,32 @@
   history_event event;
   event.mKind = event_kind::Submit;
   event.mRequest = id;
-  event.mKey = wanted.mKey;
-  event.mCount = wanted.mTasks;
-  event.mIdempotent = wanted.mProfile != "confirm-cut";
+  event.mKey = request.mKey;
+  event.mCount = request.mTasks;
+  event.mIdempotent = request.mProfile != "confirm-cut";
   Record(event);
   if (entry == nullptr) {
-    aRequest.mOver = true;
+    aRequest.mEnded = true;
     event.mKind = event_kind::Refuse;
     event.mText = "no_entry";
     event.mRunState = "not_run";
     Record(event);
-    Retry(id, seconds(1));
+    ScheduleResubmission(id, seconds(1));
     return;
   }
   aRequest.mEntry = entry->mName;
-  submission made;
-  made.mTeam = wanted.mTeam;
-  made.mKey = wanted.mKey;
-  made.mProfile = wanted.mProfile;
-  made.mId = entry->mEntry->IdentityOf(made.mTeam, made.mKey);
-  for (uint32_t i = 0; i < wanted.mTasks; i++) {
-    made.mPayloads.push_back(MakePayload(wanted.mKey, i, wanted.mRun));
+  submission job;
+  job.mTeam = request.mTeam;
+  job.mKey = request.mKey;
+  job.mProfile = request.mProfile;
+  job.mId = entry->mEntry->IdentityOf(job.mTeam, job.mKey);
+  for (uint32_t i = 0; i < request.mTasks; i++) {
+    job.mPayloads.push_back(MakePayload(request.mKey, i, request.mRun));
   }
-  duration wait = wanted.mWait;
-  At(mNow + mOptions.mLatency, [this, entry, id, made, wait] {
-    Deliver(*entry, [this, entry, id, made, wait] {
-      entry->mEntry->Submit(id, made, wait, mNow);
+  duration timeout = request.mWait;
+  At(mNow + mOptions.mLatency, [this, entry, id, job, timeout] {
+    Deliver(*entry, [this, entry, id, job, timeout] {
+      entry->mEntry->Submit(id, job, timeout, mNow);
     });
   });
 }
@@ -78,26 +78,26 @@
 {
   process& entry = Find("entry-" + std::to_string(aEntry));
   // The cancelling caller's own reply is not part of the history.
-  constexpr uint64_t kCancelling = 1u << 30;
+  constexpr uint64_t kCancelIdOffset = 1u << 30;
   job_id id = entry.mEntry->IdentityOf("members", aKey);
   entry.mEntry->Cancel(
-    kCancelling + mNextRequest++, "members", id, seconds(5), mNow);
+    kCancelIdOffset + mNextRequest++, "members", id, seconds(5), mNow);
 }
 
 void
-world::Retry(uint64_t aId, duration aAfter)
+world::ScheduleResubmission(uint64_t aId, duration aDelay)
 {
-  const caller_request again = mRequests[aId].mRequest;
-  uint32_t attempts = 0;
+  const caller_request previous = mRequests[aId].mRequest;
+  uint32_t submissions = 0;
   for (const auto& [id, request] : mRequests) {
-    attempts += request.mRequest.mKey == again.mKey ? 1 : 0;
+    submissions += request.mRequest.mKey == previous.mKey ? 1 : 0;
   }
-  bool over = mNow >= mOptions.mRetryUntil;
-  if (!again.mPersistent || attempts >= kMaxAttempts || over) {
+  bool tooLate = mNow >= mOptions.mResubmitUntil;
+  if (!previous.mPersistent || submissions >= kMaxSubmissions || tooLate) {
     return;
   }
-  At(mNow + std::max<duration>(kMinRetry, aAfter), [this, again] {
-    caller_request next = again;
+  At(mNow + std::max<duration>(kMinResubmitDelay, aDelay), [this, previous] {
+    caller_request next = previous;
     next.mEntry = next.mEntry % mOptions.mEntries + 1;
     Submit(next);
   });
@@ -110,7 +110,7 @@
   if (found == mRequests.end()) {
     return;
   }
-  found->second.mOver = true;
+  found->second.mEnded = true;
   history_event event;
   event.mRequest = aId;
   event.mKey = found->second.mRequest.mKey;
@@ -133,17 +133,17 @@
   }
   Record(event);
   if (!answered && aReply.retry_after_ms > 0) {
-    Retry(aId, milliseconds(aReply.retry_after_ms));
+    ScheduleResubmission(aId, milliseconds(aReply.retry_after_ms));
   }
 }
 
 void
-world::LoseCallers(const std::string& aEntry)
+world::DisconnectCallers(const std::string& aEntry)
 {
   std::vector<uint64_t> lost;
   for (auto& [id, request] : mRequests) {
-    if (!request.mOver && request.mEntry == aEntry) {
-      request.mOver = true;
+    if (!request.mEnded && request.mEntry == aEntry) {
+      request.mEnded = true;
       lost.push_back(id);
     }
   }
@@ -156,7 +156,7 @@
     event.mText = "connection_lost";
     event.mRunState = "unknown";
     Record(event);
-    Retry(id, kMinRetry);
+    ScheduleResubmission(id, kMinResubmitDelay);
   }
 }
 
@@ -214,7 +214,7 @@
 {
   return uint32_t(
     std::count_if(mRequests.begin(), mRequests.end(), [](const auto& aEntry) {
-      return !aEntry.second.mOver;
+      return !aEntry.second.mEnded;
     }));
 }
 
--- a/cactusmast/testing/world_fakes.h
+++ b/cactusmast/testing/world_fakes.h
@@ -17,7 +17,7 @@
 using std::chrono::seconds;
 
 constexpr milliseconds kTableLatency{ 2 };
-constexpr milliseconds kTableSync{ 4 };
+constexpr milliseconds kTableCommitLatency{ 4 };
 constexpr milliseconds kTableTimeout{ 1000 };
 
 // What a task's payload says: its job's key, its index and its run time.
@@ -38,18 +38,19 @@
 
 // One direction-less connection. A silent one loses everything that is sent
 // into it; a blocked one holds it until the block ends, as TCP would.
-struct world::pipe
+struct world::connection
 {
   std::string mLeft;
   std::string mRight;
   uint64_t mLeftIncarnation = 0;
   uint64_t mRightIncarnation = 0;
-  peer_id mAtLeft = 0;  // how the left end names the right one
-  peer_id mAtRight = 0; // and the other way round
+  peer_id mPeerAtLeft = 0;  // how the left end names the right one
+  peer_id mPeerAtRight = 0; // and the other way round
   bool mSilent = false;
   bool mOpen = true; // false once one end has closed it
-  std::vector<std::pair<std::string, message>> mHeld; // sender, message
-  std::map<std::string, instant> mLastArrival;        // by sender, for order
+  std::vector<std::pair<std::string, message>>
+    mBlockedMessages;                          // sender, message
+  std::map<std::string, instant> mLastArrival; // by sender, for order
 };
 
 struct backend_state
@@ -57,10 +58,10 @@
   bool mAlive = true;
   bool mAnnounced = true;
   double mSpeed = 1;
-  double mFail = 0;
+  double mFailureRate = 0;
   uint32_t mSlots = 4;
   uint32_t mAccelerators = 0;
-  uint64_t mLife = 1;
+  uint64_t mIncarnation = 1;
   std::vector<task_ref> mRunning;
   uint64_t mStarts = 0;
 };
@@ -73,8 +74,8 @@
   bool mAlive = false;
   bool mPaused = false;
   uint64_t mIncarnation = 0;
-  std::vector<std::function<void()>> mDeferred;
-  std::map<peer_id, uint64_t> mLinks; // to pipes
+  std::vector<std::function<void()>> mDeferredInputs;
+  std::map<peer_id, uint64_t> mConnectionIds; // to connections
   std::unique_ptr<fake_network> mNetwork;
   std::unique_ptr<fake_table> mTable;
   std::unique_ptr<fake_events> mEvents;
@@ -98,55 +99,56 @@
 
   void Send(peer_id aPeer, message aMessage) override
   {
-    auto link = mSelf.mLinks.find(aPeer);
-    if (link == mSelf.mLinks.end()) {
+    auto found = mSelf.mConnectionIds.find(aPeer);
+    if (found == mSelf.mConnectionIds.end()) {
       return;
     }
-    uint64_t number = link->second;
-    pipe& through = *mWorld.mPipes.at(number);
+    uint64_t id = found->second;
+    connection& link = *mWorld.mConnections.at(id);
     const std::string& to =
-      through.mLeft == mSelf.mName ? through.mRight : through.mLeft;
+      link.mLeft == mSelf.mName ? link.mRight : link.mLeft;
     if (mWorld.mOptions.mCountBytes) {
       std::string frame;
       EncodeFrame(aMessage, &frame);
       mWorld.mBytesSent[mSelf.mName] += frame.size();
       mWorld.mBytesReceived[to] += frame.size();
     }
-    if (through.mSilent || !through.mOpen) {
+    if (link.mSilent || !link.mOpen) {
       return;
     }
-    if (mWorld.Blocked(mSelf.mName, to)) {
-      through.mHeld.emplace_back(mSelf.mName, std::move(aMessage));
+    if (mWorld.IsBlocked(mSelf.mName, to)) {
+      link.mBlockedMessages.emplace_back(mSelf.mName, std::move(aMessage));
       return;
     }
-    Transmit(mWorld, number, mSelf.mName, std::move(aMessage));
+    Transmit(mWorld, id, mSelf.mName, std::move(aMessage));
   }
 
   static void Transmit(world& aWorld,
-                       uint64_t aPipe,
+                       uint64_t aConnection,
                        const std::string& aFrom,
                        message aMessage)
   {
-    pipe& through = *aWorld.mPipes.at(aPipe);
-    std::string to = through.mLeft == aFrom ? through.mRight : through.mLeft;
+    connection& link = *aWorld.mConnections.at(aConnection);
+    std::string to = link.mLeft == aFrom ? link.mRight : link.mLeft;
     auto delay = aWorld.mDelays.find({ aFrom, to });
     instant arrival =
       aWorld.mNow + aWorld.mOptions.mLatency +
       (delay == aWorld.mDelays.end() ? duration(0) : delay->second);
-    instant& last = through.mLastArrival[aFrom];
+    instant& last = link.mLastArrival[aFrom];
     arrival = std::max(arrival, last);
     last = arrival;
     auto carried = std::make_shared<message>(std::move(aMessage));
-    aWorld.At(arrival, [&aWorld, aPipe, to, carried] {
-      auto found = aWorld.mPipes.find(aPipe);
-      if (found == aWorld.mPipes.end() || found->second->mSilent) {
+    aWorld.At(arrival, [&aWorld, aConnection, to, carried] {
+      auto found = aWorld.mConnections.find(aConnection);
+      if (found == aWorld.mConnections.end() || found->second->mSilent) {
         return;
       }
       process& target = aWorld.Find(to);
-      pipe& arrived = *found->second;
-      peer_id peer = arrived.mLeft == to ? arrived.mAtLeft : arrived.mAtRight;
+      connection& current = *found->second;
+      peer_id peer =
+        current.mLeft == to ? current.mPeerAtLeft : current.mPeerAtRight;
       aWorld.Deliver(target, [&aWorld, &target, peer, carried] {
-        if (target.mLinks.count(peer) == 0) {
+        if (target.mConnectionIds.count(peer) == 0) {
           return;
         }
         if (target.mIsEntry) {
@@ -160,9 +162,9 @@
 
   void Close(peer_id aPeer) override
   {
-    auto link = mSelf.mLinks.find(aPeer);
-    if (link != mSelf.mLinks.end()) {
-      mWorld.CloseLink(link->second, mSelf.mName, true);
+    auto found = mSelf.mConnectionIds.find(aPeer);
+    if (found != mSelf.mConnectionIds.end()) {
+      mWorld.CloseConnection(found->second, mSelf.mName, true);
     }
   }
 
@@ -173,39 +175,39 @@
       return;
     }
     process& target = *found->second;
-    for (const auto& [peer, number] : mSelf.mLinks) {
-      pipe& present = *mWorld.mPipes.at(number);
-      bool same = present.mLeft == aAddress || present.mRight == aAddress;
-      if (same && present.mOpen) {
+    for (const auto& [peer, id] : mSelf.mConnectionIds) {
+      connection& existing = *mWorld.mConnections.at(id);
+      bool same = existing.mLeft == aAddress || existing.mRight == aAddress;
+      if (same && existing.mOpen) {
         return;
       }
     }
     bool reachable = target.mAlive && !target.mPaused &&
-                     !mWorld.Blocked(mSelf.mName, aAddress) &&
-                     !mWorld.Blocked(aAddress, mSelf.mName);
+                     !mWorld.IsBlocked(mSelf.mName, aAddress) &&
+                     !mWorld.IsBlocked(aAddress, mSelf.mName);
     if (!reachable) {
       return;
     }
-    uint64_t number = mWorld.mNextPipe++;
-    auto made = std::make_unique<pipe>();
-    made->mLeft = mSelf.mName;
-    made->mRight = aAddress;
-    made->mLeftIncarnation = mSelf.mIncarnation;
-    made->mRightIncarnation = target.mIncarnation;
-    made->mAtLeft = mWorld.mNextPeer++;
-    made->mAtRight = mWorld.mNextPeer++;
-    peer_id here = made->mAtLeft;
-    peer_id there = made->mAtRight;
-    mWorld.mPipes[number] = std::move(made);
-    mSelf.mLinks[here] = number;
-    target.mLinks[there] = number;
-    Announce(mSelf, here, target);
-    Announce(target, there, mSelf);
+    uint64_t id = mWorld.mNextConnection++;
+    auto created = std::make_unique<connection>();
+    created->mLeft = mSelf.mName;
+    created->mRight = aAddress;
+    created->mLeftIncarnation = mSelf.mIncarnation;
+    created->mRightIncarnation = target.mIncarnation;
+    created->mPeerAtLeft = mWorld.mNextPeer++;
+    created->mPeerAtRight = mWorld.mNextPeer++;
+    peer_id localPeer = created->mPeerAtLeft;
+    peer_id remotePeer = created->mPeerAtRight;
+    mWorld.mConnections[id] = std::move(created);
+    mSelf.mConnectionIds[localPeer] = id;
+    target.mConnectionIds[remotePeer] = id;
+    SchedulePeerUp(mSelf, localPeer, target);
+    SchedulePeerUp(target, remotePeer, mSelf);
   }
 
 private:
   // Tells aTo, after the handshake, that aOther is connected.
-  void Announce(process& aTo, peer_id aPeer, process& aOther)
+  void SchedulePeerUp(process& aTo, peer_id aPeer, process& aOther)
   {
     peer_identity identity;
     identity.mRole =
@@ -221,7 +223,7 @@
     owner.At(owner.mNow + owner.mOptions.mLatency * 2,
              [&owner, to, aPeer, identity] {
                owner.Deliver(*to, [&owner, to, aPeer, identity] {
-                 if (to->mLinks.count(aPeer) == 0) {
+                 if (to->mConnectionIds.count(aPeer) == 0) {
                    return;
                  }
                  if (to->mIsEntry) {
@@ -250,9 +252,9 @@
                 uint32_t aLimit,
                 bool aNewestFirst) override
   {
-    uint64_t request = ++mWorld.mTableRequest;
+    uint64_t request = ++mWorld.mLastTableRequest;
     mWorld.mTableReads++;
-    Perform(
+    ScheduleReply(
       request, detail::kTableLatency, [this, aPrefix, aLimit, aNewestFirst] {
         table_reply reply;
         reply.mStatus = table_status::Ok;
@@ -274,8 +276,8 @@
 
   uint64_t Commit(std::vector<table_write> aWrites) override
   {
-    uint64_t request = ++mWorld.mTableRequest;
-    Perform(request, detail::kTableSync, [this, aWrites] {
+    uint64_t request = ++mWorld.mLastTableRequest;
+    ScheduleReply(request, detail::kTableCommitLatency, [this, aWrites] {
       table_reply reply;
       for (const table_write& write : aWrites) {
         auto row = mWorld.mRows.find(write.mKey);
@@ -306,18 +308,18 @@
   }
 
 private:
-  void Perform(uint64_t aRequest,
-               duration aLatency,
-               std::function<table_reply()> aWork)
+  void ScheduleReply(uint64_t aRequest,
+                     duration aLatency,
+                     std::function<table_reply()> aOperation)
   {
     uint64_t incarnation = mSelf.mIncarnation;
     instant arrival = mWorld.mNow + aLatency + mWorld.mTableFaults.mExtraDelay;
-    mWorld.At(arrival, [this, aRequest, aWork, incarnation] {
+    mWorld.At(arrival, [this, aRequest, aOperation, incarnation] {
       table_reply reply;
-      bool cut =
-        mWorld.mTableFaults.mDown || mWorld.Blocked(mSelf.mName, "table");
-      if (!cut) {
-        reply = aWork();
+      bool unavailable =
+        mWorld.mTableFaults.mDown || mWorld.IsBlocked(mSelf.mName, "table");
+      if (!unavailable) {
+        reply = aOperation();
       }
       reply.mRequest = aRequest;
       duration wait = reply.mStatus == table_status::Unavailable
@@ -355,13 +357,13 @@
   {
     backend_state& server = mSelf.mServer;
     if (!server.mAlive) {
-      End(aTask.mRef,
-          mWorld.mNow + mWorld.mOptions.mLatency,
-          { aTask.mRef,
-            task_outcome::Refused,
-            run_state::NotRun,
-            task_reason::Withdrawn,
-            "" });
+      ScheduleEnd(aTask.mRef,
+                  mWorld.mNow + mWorld.mOptions.mLatency,
+                  { aTask.mRef,
+                    task_outcome::Refused,
+                    run_state::NotRun,
+                    task_reason::Withdrawn,
+                    "" });
       return;
     }
     detail::parsed_payload payload = detail::ParsePayload(aTask.mPayload);
@@ -374,7 +376,7 @@
     server.mStarts++;
     server.mRunning.push_back(aTask.mRef);
     std::uniform_real_distribution<double> uniform(0, 1);
-    bool fails = uniform(mWorld.mRandom) < server.mFail;
+    bool fails = uniform(mWorld.mRandom) < server.mFailureRate;
     duration run(int64_t(double(payload.mRun.count()) / server.mSpeed));
     task_completion end{ aTask.mRef,
                          fails ? task_outcome::Failed : task_outcome::Succeeded,
@@ -382,28 +384,28 @@
                          fails ? task_reason::BackendError : task_reason::None,
                          fails ? ""
                                : ExpectedOutput(payload.mKey, payload.mIndex) };
-    End(aTask.mRef,
-        mWorld.mNow + (fails ? duration(detail::milliseconds(1)) : run),
-        end);
+    ScheduleEnd(aTask.mRef,
+                mWorld.mNow + (fails ? duration(detail::milliseconds(1)) : run),
+                end);
   }
 
-  void Cancel(const task_ref& aRef) override { Forget(aRef); }
+  void Cancel(const task_ref& aRef) override { RemoveRunning(aRef); }
 
-  void LoseAll()
+  void FailRunning()
   {
     std::vector<task_ref> lost = std::move(mSelf.mServer.mRunning);
     mSelf.mServer.mRunning.clear();
     for (const task_ref& ref : lost) {
-      Tell({ ref,
-             task_outcome::Failed,
-             run_state::Unknown,
-             task_reason::BackendLost,
-             "" });
+      ReportEnd({ ref,
+                  task_outcome::Failed,
+                  run_state::Unknown,
+                  task_reason::BackendLost,
+                  "" });
     }
   }
 
 private:
-  bool Forget(const task_ref& aRef)
+  bool RemoveRunning(const task_ref& aRef)
   {
     std::vector<task_ref>& running = mSelf.mServer.mRunning;
     auto found = std::find_if(
@@ -417,22 +419,25 @@
     return true;
   }
 
-  void End(const task_ref& aRef, instant aWhen, const task_completion& aEnd)
+  void ScheduleEnd(const task_ref& aRef,
+                   instant aWhen,
+                   const task_completion& aEnd)
   {
     uint64_t incarnation = mSelf.mIncarnation;
-    uint64_t life = mSelf.mServer.mLife;
-    mWorld.At(aWhen, [this, aRef, aEnd, incarnation, life] {
+    uint64_t serverIncarnation = mSelf.mServer.mIncarnation;
+    mWorld.At(aWhen, [this, aRef, aEnd, incarnation, serverIncarnation] {
       bool ran = aEnd.mOutcome != task_outcome::Refused;
-      if (mSelf.mServer.mLife != life || (ran && !Forget(aRef))) {
+      if (mSelf.mServer.mIncarnation != serverIncarnation ||
+          (ran && !RemoveRunning(aRef))) {
         return;
       }
       if (mSelf.mIncarnation == incarnation) {
-        Tell(aEnd);
+        ReportEnd(aEnd);
       }
     });
   }
 
-  void Tell(const task_completion& aEnd)
+  void ReportEnd(const task_completion& aEnd)
   {
     mWorld.Deliver(
       mSelf, [this, aEnd] { mSelf.mGuard->OnTaskEnded(aEnd, mWorld.mNow); });
--- a/cactusmast/testing/world_faults.cc
+++ b/cactusmast/testing/world_faults.cc
@@ -8,42 +8,42 @@
 using namespace detail;
 
 void
-world::Disconnect(process& aProcess, bool aTellPeers)
+world::StopProcess(process& aProcess, bool aNotifyPeers)
 {
   aProcess.mAlive = false;
   history_event event;
   event.mKind = event_kind::ProcessStopped;
   event.mProcess = aProcess.mName;
   Record(event);
-  std::vector<uint64_t> links;
-  for (const auto& [peer, number] : aProcess.mLinks) {
-    links.push_back(number);
+  std::vector<uint64_t> ids;
+  for (const auto& [peer, id] : aProcess.mConnectionIds) {
+    ids.push_back(id);
   }
-  for (uint64_t link : links) {
-    CloseLink(link, aProcess.mName, aTellPeers);
+  for (uint64_t id : ids) {
+    CloseConnection(id, aProcess.mName, aNotifyPeers);
   }
-  aProcess.mLinks.clear();
+  aProcess.mConnectionIds.clear();
   if (aProcess.mIsEntry) {
-    LoseCallers(aProcess.mName);
+    DisconnectCallers(aProcess.mName);
   }
 }
 
 void
 world::Kill(const std::string& aName)
 {
-  NoteFault();
-  Disconnect(Find(aName), true);
+  RecordFault();
+  StopProcess(Find(aName), true);
 }
 
 void
 world::LoseMachine(const std::string& aName)
 {
-  NoteFault();
+  RecordFault();
   process& lost = Find(aName);
-  Disconnect(lost, false);
+  StopProcess(lost, false);
   if (!lost.mIsEntry) {
     lost.mServer.mAlive = false;
-    lost.mServer.mLife++;
+    lost.mServer.mIncarnation++;
     lost.mServer.mRunning.clear();
   }
 }
@@ -51,21 +51,21 @@
 void
 world::Restart(const std::string& aName)
 {
-  process& again = Find(aName);
-  if (again.mAlive && again.mDraining) {
+  process& restarted = Find(aName);
+  if (restarted.mAlive && restarted.mDraining) {
     // The replacement starts when the old process has exited.
     At(mNow + milliseconds(500), [this, aName] { Restart(aName); });
     return;
   }
-  if (again.mAlive) {
+  if (restarted.mAlive) {
     return;
   }
-  again.mServer.mAlive = true;
-  Boot(again);
-  if (!again.mIsEntry) {
+  restarted.mServer.mAlive = true;
+  StartProcess(restarted);
+  if (!restarted.mIsEntry) {
     history_event event;
     event.mKind = event_kind::Announced;
-    event.mProcess = "backend-" + std::to_string(again.mNumber);
+    event.mProcess = "backend-" + std::to_string(restarted.mNumber);
     Record(event);
   }
 }
@@ -73,59 +73,60 @@
 void
 world::Pause(const std::string& aName)
 {
-  NoteFault();
+  RecordFault();
   Find(aName).mPaused = true;
 }
 
 void
 world::Resume(const std::string& aName)
 {
-  process& woken = Find(aName);
-  if (!woken.mPaused || !woken.mAlive) {
+  process& resumed = Find(aName);
+  if (!resumed.mPaused || !resumed.mAlive) {
     return;
   }
-  woken.mPaused = false;
-  std::vector<std::function<void()>> inputs = std::move(woken.mDeferred);
-  woken.mDeferred.clear();
-  // A woken process reads all that waits in its sockets before it gets to its
+  resumed.mPaused = false;
+  std::vector<std::function<void()>> inputs =
+    std::move(resumed.mDeferredInputs);
+  resumed.mDeferredInputs.clear();
+  // A resumed process reads all that waits in its sockets before it gets to its
   // own timers.
   for (std::function<void()>& input : inputs) {
     input();
   }
-  Deliver(woken, [] {});
+  Deliver(resumed, [] {});
 }
 
 void
 world::Drain(const std::string& aName)
 {
-  process& leaving = Find(aName);
-  if (!leaving.mAlive || leaving.mDraining) {
+  process& drained = Find(aName);
+  if (!drained.mAlive || drained.mDraining) {
     return;
   }
-  leaving.mDraining = true;
+  drained.mDraining = true;
   history_event event;
   event.mKind = event_kind::DrainBegan;
   event.mProcess = aName;
   Record(event);
-  if (leaving.mIsEntry) {
-    leaving.mEntry->BeginDrain(mNow);
+  if (drained.mIsEntry) {
+    drained.mEntry->BeginDrain(mNow);
     return;
   }
   event.mKind = event_kind::Withdrawn;
-  event.mProcess = "backend-" + std::to_string(leaving.mNumber);
+  event.mProcess = "backend-" + std::to_string(drained.mNumber);
   Record(event);
-  leaving.mGuard->BeginDrain(mNow);
+  drained.mGuard->BeginDrain(mNow);
 }
 
 void
 world::Silence(const std::string& aLeft, const std::string& aRight)
 {
-  NoteFault();
-  for (auto& [number, one] : mPipes) {
-    bool between = (one->mLeft == aLeft && one->mRight == aRight) ||
-                   (one->mLeft == aRight && one->mRight == aLeft);
-    if (between && one->mOpen) {
-      one->mSilent = true;
+  RecordFault();
+  for (auto& [id, link] : mConnections) {
+    bool between = (link->mLeft == aLeft && link->mRight == aRight) ||
+                   (link->mLeft == aRight && link->mRight == aLeft);
+    if (between && link->mOpen) {
+      link->mSilent = true;
     }
   }
 }
@@ -133,57 +134,58 @@
 void
 world::Block(const std::string& aFrom, const std::string& aTo)
 {
-  NoteFault();
-  mBlocked.insert({ aFrom, aTo });
+  RecordFault();
+  mBlockedDirections.insert({ aFrom, aTo });
 }
 
 void
 world::Unblock(const std::string& aFrom, const std::string& aTo)
 {
-  mBlocked.erase({ aFrom, aTo });
-  for (auto& [number, one] : mPipes) {
-    if (!one->mOpen || one->mSilent) {
+  mBlockedDirections.erase({ aFrom, aTo });
+  for (auto& [id, link] : mConnections) {
+    if (!link->mOpen || link->mSilent) {
       continue;
     }
-    std::vector<std::pair<std::string, message>> kept;
-    for (auto& [sender, held] : one->mHeld) {
-      const std::string& to = one->mLeft == sender ? one->mRight : one->mLeft;
-      if (Blocked(sender, to)) {
-        kept.emplace_back(sender, std::move(held));
+    std::vector<std::pair<std::string, message>> stillBlocked;
+    for (auto& [sender, pending] : link->mBlockedMessages) {
+      const std::string& to =
+        link->mLeft == sender ? link->mRight : link->mLeft;
+      if (IsBlocked(sender, to)) {
+        stillBlocked.emplace_back(sender, std::move(pending));
       } else {
-        fake_network::Transmit(*this, number, sender, std::move(held));
+        fake_network::Transmit(*this, id, sender, std::move(pending));
       }
     }
-    one->mHeld = std::move(kept);
+    link->mBlockedMessages = std::move(stillBlocked);
   }
 }
 
 void
 world::Delay(const std::string& aFrom, const std::string& aTo, duration aBy)
 {
-  NoteFault();
+  RecordFault();
   mDelays[{ aFrom, aTo }] = aBy;
 }
 
 void
 world::PushOldConfig(uint64_t aVersion)
 {
-  NoteFault();
+  RecordFault();
   wire::config_push_msg push;
   push.version = aVersion;
   push.document = mDocuments[aVersion];
-  for (auto& [number, one] : mPipes) {
-    if (one->mOpen && !one->mSilent) {
+  for (auto& [id, link] : mConnections) {
+    if (link->mOpen && !link->mSilent) {
       fake_network::Transmit(
-        *this, number, one->mLeft, MakeMessage(wire::config_push_msg(push)));
+        *this, id, link->mLeft, MakeMessage(wire::config_push_msg(push)));
       fake_network::Transmit(
-        *this, number, one->mRight, MakeMessage(wire::config_push_msg(push)));
+        *this, id, link->mRight, MakeMessage(wire::config_push_msg(push)));
     }
   }
 }
 
 void
-world::NoteFault()
+world::RecordFault()
 {
   history_event event;
   event.mKind = event_kind::Fault;
@@ -193,35 +195,35 @@
 void
 world::WithdrawBackend(uint32_t aGuard)
 {
-  process& beside = Find("guard-" + std::to_string(aGuard));
-  beside.mServer.mAnnounced = false;
+  process& guard = Find("guard-" + std::to_string(aGuard));
+  guard.mServer.mAnnounced = false;
   history_event event;
   event.mKind = event_kind::Withdrawn;
   event.mProcess = "backend-" + std::to_string(aGuard);
   Record(event);
-  Deliver(beside, [this, &beside] { beside.mGuard->Withdraw(mNow); });
+  Deliver(guard, [this, &guard] { guard.mGuard->Withdraw(mNow); });
 }
 
 void
 world::KillBackend(uint32_t aGuard)
 {
-  NoteFault();
-  process& beside = Find("guard-" + std::to_string(aGuard));
-  beside.mServer.mAlive = false;
-  beside.mServer.mLife++;
+  RecordFault();
+  process& guard = Find("guard-" + std::to_string(aGuard));
+  guard.mServer.mAlive = false;
+  guard.mServer.mIncarnation++;
   history_event event;
   event.mKind = event_kind::Withdrawn;
   event.mProcess = "backend-" + std::to_string(aGuard);
   Record(event);
-  beside.mBackend->LoseAll();
+  guard.mBackend->FailRunning();
 }
 
 void
 world::AnnounceBackend(uint32_t aGuard)
 {
-  process& beside = Find("guard-" + std::to_string(aGuard));
-  beside.mServer.mAlive = true;
-  beside.mServer.mAnnounced = true;
+  process& guard = Find("guard-" + std::to_string(aGuard));
+  guard.mServer.mAlive = true;
+  guard.mServer.mAnnounced = true;
   history_event event;
   event.mKind = event_kind::Announced;
   event.mProcess = "backend-" + std::to_string(aGuard);
@@ -229,11 +231,11 @@
 }
 
 void
-world::SetBackend(uint32_t aGuard, double aSpeed, double aFail)
+world::SetBackend(uint32_t aGuard, double aSpeed, double aFailureRate)
 {
   backend_state& server = Find("guard-" + std::to_string(aGuard)).mServer;
   server.mSpeed = aSpeed;
-  server.mFail = aFail;
+  server.mFailureRate = aFailureRate;
 }
 
 void
