--- a/cactusmast/testing/history.cc
+++ b/cactusmast/testing/history.cc
@@ -80,13 +80,13 @@
       if (submit == mSubmits.end() || submit->second->mKey != event.mKey) {
         Report(promise::OwnAnswer,
                "request " + std::to_string(event.mRequest) +
-                 " got an answer to " + event.mKey);
+                 " got a reply to job " + event.mKey);
         continue;
       }
       if (!answered.insert(event.mRequest).second) {
         Report(promise::OwnAnswer,
                "request " + std::to_string(event.mRequest) +
-                 " was answered twice");
+                 " got two replies");
       }
       if (event.mKind == event_kind::Answer) {
         CheckAnswerTasks(event, submit->second->mCount);
@@ -97,7 +97,7 @@
       if (mOptions.mAllAnswered && answered.count(request) == 0) {
         Report(promise::OwnAnswer,
                "request " + std::to_string(request) + " (" + submit->mKey +
-                 ") was never answered");
+                 ") got no reply");
       }
     }
   }
@@ -107,7 +107,7 @@
     if (aAnswer.mTasks.size() != aCount) {
       Report(promise::WholeAnswer,
              aAnswer.mKey + ": " + std::to_string(aAnswer.mTasks.size()) +
-               " of " + std::to_string(aCount) + " tasks in the answer");
+               " of " + std::to_string(aCount) + " tasks are in the answer");
       return;
     }
     bool allSucceeded = true;
@@ -118,29 +118,30 @@
       allSucceeded = allSucceeded && succeeded;
       if (succeeded && task.mOutput != ExpectedOutput(aAnswer.mKey, i)) {
         Report(promise::OwnAnswer,
-               aAnswer.mKey + "." + std::to_string(i) + " carries " +
-                 task.mOutput);
+               aAnswer.mKey + "." + std::to_string(i) +
+                 " has the wrong output: " + task.mOutput);
       }
       if (succeeded && mStartCounts.count(key) == 0) {
         Report(promise::WholeAnswer,
                aAnswer.mKey + "." + std::to_string(i) +
-                 " succeeded without a start");
+                 " succeeded but was not started");
       }
       if (!succeeded && task.mRunState == "not_run" &&
           mStartCounts.count(key) > 0) {
         Report(promise::RefusedNotRun,
                aAnswer.mKey + "." + std::to_string(i) +
-                 " is said not to have run, but started");
+                 " is reported as not run but was started");
       }
     }
     if (allSucceeded != (aAnswer.mText == "complete")) {
       Report(promise::WholeAnswer,
-             aAnswer.mKey + " is marked " + aAnswer.mText +
-               " against its tasks' outcomes");
+             aAnswer.mKey + " is answered " + aAnswer.mText +
+               ", which contradicts the outcomes of its tasks");
     }
   }
 
-  // Two answers to one job must not differ.
+  // All answers to a job must have the same ending. Not checked if there were
+  // faults.
   void CheckSameEnding(
     const history_event& aAnswer,
     std::map<std::string, const history_event*>* aFirstAnswers)
@@ -158,7 +159,8 @@
 
   void CheckRefusals()
   {
-    // A key of which every request was refused as not run must not start.
+    // If every request with a key was refused as not run, no task of that key
+    // may have started.
     std::map<std::string, bool> onlyRefused;
     for (const history_event& event : mHistory) {
       if (event.mKind == event_kind::Submit) {
@@ -179,7 +181,7 @@
     for (const auto& [key, refused] : onlyRefused) {
       if (refused && mStartedKeys.count(key) > 0) {
         Report(promise::RefusedNotRun,
-               key + " was refused as not run, but started");
+               key + " was refused as not run but was started");
       }
     }
   }
@@ -197,7 +199,8 @@
         if (withdrawal != withdrawnAt.end() &&
             event.mTime > withdrawal->second + mOptions.mWithdrawalLimit) {
           Report(promise::NothingAfterLeaving,
-                 event.mProcess + " got " + event.mKey + " after it withdrew");
+                 event.mProcess + " started a task of " + event.mKey +
+                   " after it withdrew");
         }
       }
     }
@@ -216,7 +219,7 @@
       if (event.mKind == event_kind::Answer && event.mText != "complete") {
         Report(promise::PlannedStopCutsNothing,
                event.mKey + " ended " + event.mText +
-                 " though all stops were planned");
+                 " though processes were only drained");
       }
     }
   }
@@ -249,7 +252,7 @@
         case event_kind::ConfigInForce:
           if (event.mVersion < inForce[event.mProcess]) {
             Report(promise::ConfigurationInForce,
-                   event.mProcess + " went back from version " +
+                   event.mProcess + " went back from configuration version " +
                      std::to_string(inForce[event.mProcess]) + " to " +
                      std::to_string(event.mVersion));
           }
@@ -281,7 +284,7 @@
         aNow <= aStartedAt.at(process) + mOptions.mConfigLimit;
       if (lagging && !recentlyStarted && mLagging.insert(process).second) {
         Report(promise::ConfigurationInForce,
-               process + " does not have version " +
+               process + " does not have configuration version " +
                  std::to_string(aNewestVersion) + " in force in time");
       }
     }
@@ -289,11 +292,11 @@
 
   const history& mHistory;
   const check_options& mOptions;
-  std::map<uint64_t, const history_event*> mSubmits;
-  std::map<std::string, bool> mIdempotent;
+  std::map<uint64_t, const history_event*> mSubmits; // by mRequest
+  std::map<std::string, bool> mIdempotent;           // by mKey
   std::map<task_key, uint32_t> mStartCounts;
   std::set<std::string> mStartedKeys;
-  std::set<std::string> mLagging;
+  std::set<std::string> mLagging; // processes already reported
   bool mHasFaults = false;
   std::vector<violation> mViolations;
 };
--- a/cactusmast/testing/history_test.cc
+++ b/cactusmast/testing/history_test.cc
@@ -1,5 +1,6 @@
-// The checker is only worth what it can find: one history for each way to
-// break a promise, and one that breaks none.
+// Tests of the history checker: one history for each way to break a promise,
+// and one that breaks none. They guard against a checker that misses
+// violations, with which the tests that rely on it would pass in vain.
 
 #include <doctest/doctest.h>
 #include <functional>
@@ -71,7 +72,7 @@
   return event;
 }
 
-// A run in which everything is as promised.
+// A history without violations.
 history
 CorrectHistory()
 {
@@ -87,6 +88,7 @@
            ProcessEvent(7, event_kind::ProcessStopped, "entry-1") };
 }
 
+// A change to CorrectHistory() that breaks mPromise.
 struct broken_case
 {
   const char* mName;
@@ -112,15 +114,15 @@
     { "an answer lacks a task",
       promise::WholeAnswer,
       [](history& aHistory) { aHistory[5].mTasks.pop_back(); } },
-    { "an answer is complete with a failed task",
+    { "a job with a failed task is answered complete",
       promise::WholeAnswer,
       [](history& aHistory) {
         aHistory[5].mTasks[0] = { "failed", "run", "" };
       } },
-    { "a task succeeds without a start",
+    { "a task succeeds but was not started",
       promise::WholeAnswer,
       [](history& aHistory) { aHistory.erase(aHistory.begin() + 4); } },
-    { "the same job is answered differently",
+    { "two answers to a job have different endings",
       promise::WholeAnswer,
       [](history& aHistory) {
         aHistory.push_back(Submit(8, 2, "a", 2));
@@ -133,28 +135,28 @@
       [](history& aHistory) {
         aHistory[5].mTasks[0].mOutput = ExpectedOutput("b", 0);
       } },
-    { "an answer goes to another request",
+    { "a request gets a reply to another job",
       promise::OwnAnswer,
       [](history& aHistory) { aHistory[5].mKey = "b"; } },
-    { "a request is answered twice",
+    { "a request gets two replies",
       promise::OwnAnswer,
       [](history& aHistory) { aHistory.push_back(Answer(9, 1, "a", 2)); } },
-    { "a request is never answered",
+    { "a request gets no reply",
       promise::OwnAnswer,
       [](history& aHistory) { aHistory.erase(aHistory.begin() + 5); } },
-    { "a refused request runs",
+    { "a task of a request that was refused as not run starts",
       promise::RefusedNotRun,
       [](history& aHistory) {
         aHistory[5].mKind = event_kind::Refuse;
         aHistory[5].mRunState = "not_run";
       } },
-    { "a task that is said not to have run starts",
+    { "a task that is reported as not run starts",
       promise::RefusedNotRun,
       [](history& aHistory) {
         aHistory[5].mTasks[0] = { "failed", "not_run", "" };
         aHistory[5].mText = "failed";
       } },
-    { "a backend server gets work after it left",
+    { "a backend server starts a task after it withdrew",
       promise::NothingAfterLeaving,
       [](history& aHistory) {
         aHistory.push_back(ProcessEvent(8, event_kind::Withdrawn, "backend-1"));
@@ -162,7 +164,7 @@
         aHistory.push_back(Start(12, "b", 0));
         aHistory.push_back(Answer(13, 2, "b", 1));
       } },
-    { "a planned stop cuts a request off",
+    { "a drain makes a job fail",
       promise::PlannedStopCutsNothing,
       [](history& aHistory) {
         aHistory[5].mText = "failed";
@@ -186,12 +188,12 @@
 
 } // namespace
 
-TEST_CASE("the checker finds nothing wrong with a good history")
+TEST_CASE("the checker reports no violation in a correct history")
 {
   CHECK(Check(CorrectHistory(), {}).empty());
 }
 
-TEST_CASE("the checker finds every broken promise")
+TEST_CASE("the checker reports each way of breaking a promise")
 {
   for (const broken_case& broken : BrokenCases()) {
     history changed = CorrectHistory();
