--- a/cactusmast/testing/world.cc
+++ b/cactusmast/testing/world.cc
@@ -104,7 +104,8 @@
   aProcess.mDeferredInputs.clear();
   aProcess.mNetwork = std::make_unique<fake_network>(*this, aProcess);
   if (aProcess.mTable == nullptr) {
-    // Requests under way refer to it, so it lives as long as the world.
+    // Scheduled actions refer to these fakes, so they are kept across restarts
+    // of the process for as long as the world exists.
     aProcess.mTable = std::make_unique<fake_table>(*this, aProcess);
     aProcess.mBackend = std::make_unique<fake_backend>(*this, aProcess);
     aProcess.mEvents = std::make_unique<fake_events>(*this, aProcess);
@@ -283,12 +284,13 @@
   Find(aCloser).mConnectionIds.erase(localPeer);
   bool notified = aNotify && !link.mSilent && !IsBlocked(aCloser, other);
   if (!notified) {
-    // The other end is never told; what it sends is lost.
+    // The other end does not see the close, and what it sends is lost.
     link.mSilent = true;
     return;
   }
   link.mOpen = false;
-  // What was sent before the end still arrives, and the end after it.
+  // Messages that were sent before the close still arrive, and the close
+  // after them.
   instant arrival =
     std::max(mNow + mOptions.mLatency, link.mLastArrival[aCloser]);
   At(arrival, [this, other, remotePeer] {
--- a/cactusmast/testing/world_callers.cc
+++ b/cactusmast/testing/world_callers.cc
@@ -1,4 +1,5 @@
-// Callers of a world: submissions, retries and answers, and what they saw.
+// Callers of a world: they submit and resubmit jobs, and the replies that they
+// get are recorded in the history.
 
 #include <algorithm>
 
@@ -12,7 +13,7 @@
 namespace {
 
 constexpr milliseconds kMinResubmitDelay{ 200 };
-constexpr uint32_t kMaxSubmissions = 60;
+constexpr uint32_t kMaxSubmissions = 60; // of one job
 
 } // namespace
 
@@ -30,7 +31,7 @@
 world::SendSubmit(open_request& aRequest)
 {
   const caller_request& request = aRequest.mRequest;
-  // The balancer passes over entries that are known to be gone.
+  // The load balancer skips entries that have stopped or are draining.
   process* entry = nullptr;
   for (uint32_t i = 0; i < mOptions.mEntries && entry == nullptr; i++) {
     uint32_t number = (request.mEntry - 1 + i) % mOptions.mEntries + 1;
@@ -77,7 +78,8 @@
 world::Cancel(const std::string& aKey, uint32_t aEntry)
 {
   process& entry = Find("entry-" + std::to_string(aEntry));
-  // The cancelling caller's own reply is not part of the history.
+  // The reply to the cancel request is not part of the history: no request
+  // has an id this large.
   constexpr uint64_t kCancelIdOffset = 1u << 30;
   job_id id = entry.mEntry->IdentityOf("members", aKey);
   entry.mEntry->Cancel(
--- a/cactusmast/testing/world_fakes.h
+++ b/cactusmast/testing/world_fakes.h
@@ -1,5 +1,6 @@
-// The fakes behind a world: its network, table, backend servers, callers, and
-// the events and random numbers of its processes. For world's own files only.
+// The fakes of a world: its network, table, backend servers and callers, and
+// the event sinks and random numbers of its processes. Included only by the
+// source files of world.
 
 #ifndef CACTUSMAST_TESTING_WORLD_FAKES_H_
 #define CACTUSMAST_TESTING_WORLD_FAKES_H_
@@ -16,16 +17,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+// Of a read until it is performed, and of every reply.
 constexpr milliseconds kTableLatency{ 2 };
+// Of a commit until it takes effect.
 constexpr milliseconds kTableCommitLatency{ 4 };
+// Until an operation that gets no reply is reported as Unavailable.
 constexpr milliseconds kTableTimeout{ 1000 };
 
-// What a task's payload says: its job's key, its index and its run time.
+// The content of a task's payload.
 struct parsed_payload
 {
-  std::string mKey;
-  uint32_t mIndex = 0;
-  duration mRun{};
+  std::string mKey;    // of the job
+  uint32_t mIndex = 0; // of the task within the job
+  duration mRun{};     // run time at speed 1
 };
 
 std::string
@@ -36,54 +40,58 @@
 
 } // namespace detail
 
-// One direction-less connection. A silent one loses everything that is sent
-// into it; a blocked one holds it until the block ends, as TCP would.
+// A bidirectional connection between two processes. A silent connection loses
+// everything that is sent over it. Messages in a blocked direction are held
+// until it is unblocked, as by TCP, which resends them.
 struct world::connection
 {
   std::string mLeft;
   std::string mRight;
   uint64_t mLeftIncarnation = 0;
   uint64_t mRightIncarnation = 0;
-  peer_id mPeerAtLeft = 0;  // how the left end names the right one
-  peer_id mPeerAtRight = 0; // and the other way round
+  peer_id mPeerAtLeft = 0;  // id of the right end in the left process
+  peer_id mPeerAtRight = 0; // id of the left end in the right process
   bool mSilent = false;
   bool mOpen = true; // false once one end has closed it
   std::vector<std::pair<std::string, message>>
-    mBlockedMessages;                          // sender, message
-  std::map<std::string, instant> mLastArrival; // by sender, for order
+    mBlockedMessages; // sender, message
+  std::map<std::string, instant>
+    mLastArrival; // by sender; keeps messages in order
 };
 
+// The backend server beside a guard.
 struct backend_state
 {
   bool mAlive = true;
-  bool mAnnounced = true;
-  double mSpeed = 1;
-  double mFailureRate = 0;
+  bool mAnnounced = true;  // false after a withdrawal
+  double mSpeed = 1;       // divides the run time of tasks
+  double mFailureRate = 0; // probability that a task fails, 0 to 1
   uint32_t mSlots = 4;
   uint32_t mAccelerators = 0;
   uint64_t mIncarnation = 1;
   std::vector<task_ref> mRunning;
-  uint64_t mStarts = 0;
+  uint64_t mStarts = 0; // tasks started since the beginning of the run
 };
 
+// An entry or a guard; a guard has its backend server beside it.
 struct world::process
 {
   std::string mName;
   bool mIsEntry = true;
-  uint32_t mNumber = 0;
+  uint32_t mNumber = 0; // from 1, among the entries or the guards
   bool mAlive = false;
   bool mPaused = false;
   uint64_t mIncarnation = 0;
-  std::vector<std::function<void()>> mDeferredInputs;
-  std::map<peer_id, uint64_t> mConnectionIds; // to connections
+  std::vector<std::function<void()>> mDeferredInputs; // while it is paused
+  std::map<peer_id, uint64_t> mConnectionIds;         // by peer
   std::unique_ptr<fake_network> mNetwork;
   std::unique_ptr<fake_table> mTable;
   std::unique_ptr<fake_events> mEvents;
   std::unique_ptr<fake_random> mRandom;
   std::unique_ptr<fake_callers> mCallers;
   std::unique_ptr<fake_backend> mBackend;
-  std::unique_ptr<entry_node> mEntry;
-  std::unique_ptr<guard_node> mGuard;
+  std::unique_ptr<entry_node> mEntry; // null in a guard
+  std::unique_ptr<guard_node> mGuard; // null in an entry
   backend_state mServer;
   bool mDraining = false;
 };
@@ -206,7 +214,7 @@
   }
 
 private:
-  // Tells aTo, after the handshake, that aOther is connected.
+  // Reports the connection to aOther to aTo, after the time of the handshake.
   void SchedulePeerUp(process& aTo, peer_id aPeer, process& aOther)
   {
     peer_identity identity;
@@ -308,6 +316,9 @@
   }
 
 private:
+  // Performs aOperation after aLatency and then delivers its reply. If the
+  // table is unavailable by then, the operation is not performed and the reply
+  // is Unavailable.
   void ScheduleReply(uint64_t aRequest,
                      duration aLatency,
                      std::function<table_reply()> aOperation)
@@ -391,6 +402,7 @@
 
   void Cancel(const task_ref& aRef) override { RemoveRunning(aRef); }
 
+  // The backend server has ended.
   void FailRunning()
   {
     std::vector<task_ref> lost = std::move(mSelf.mServer.mRunning);
@@ -405,6 +417,7 @@
   }
 
 private:
+  // Returns whether the task was running.
   bool RemoveRunning(const task_ref& aRef)
   {
     std::vector<task_ref>& running = mSelf.mServer.mRunning;
@@ -419,6 +432,8 @@
     return true;
   }
 
+  // Reports aEnd at aWhen, unless by then the task was cancelled, the backend
+  // server has ended or the guard was restarted.
   void ScheduleEnd(const task_ref& aRef,
                    instant aWhen,
                    const task_completion& aEnd)
--- a/cactusmast/testing/world_faults.cc
+++ b/cactusmast/testing/world_faults.cc
@@ -1,4 +1,4 @@
-// What a scenario does to processes, connections and backend servers.
+// Faults and drains of processes, connections and backend servers in a world.
 
 #include "cactusmast/testing/world.h"
 #include "cactusmast/testing/world_fakes.h"
@@ -88,8 +88,8 @@
   std::vector<std::function<void()>> inputs =
     std::move(resumed.mDeferredInputs);
   resumed.mDeferredInputs.clear();
-  // A resumed process reads all that waits in its sockets before it gets to its
-  // own timers.
+  // A resumed process reads all that is waiting in its sockets before its
+  // timers run.
   for (std::function<void()>& input : inputs) {
     input();
   }
