--- a/cactusmast/testing/random_test.cc
+++ b/cactusmast/testing/random_test.cc
@@ -1,6 +1,7 @@
-// Random schedules of faults on the virtual clock, checked against all
-// promises. A failing seed prints its shrunk schedule. With
-// CACTUSMAST_SOAK=N it runs N seeds from CACTUSMAST_SEED on.
+// Random schedules of faults in a simulated world, with all promises checked
+// over the history of each run. For a failing seed, the test prints its shrunk
+// schedule. With CACTUSMAST_SOAK=N it runs N seeds, the first of which is
+// CACTUSMAST_SEED.
 
 #include <cstdio>
 #include <cstdlib>
@@ -52,10 +53,13 @@
 struct planned_fault
 {
   fault_kind mKind;
-  milliseconds mAt;
+  milliseconds mAt; // since the start of the run
   milliseconds mDuration;
-  uint32_t mFirstIndex;  // which entry or guard
-  uint32_t mSecondIndex; // the other end of a link
+  // Selects the entry, guard or job, modulo their number.
+  uint32_t mFirstIndex;
+  // Selects the entry that is the other end of a connection or that handles a
+  // cancellation or a change, modulo their number.
+  uint32_t mSecondIndex;
 };
 
 struct schedule
@@ -109,6 +113,7 @@
     options.mShards = aSchedule.mShards;
     options.mEntrySafeguards = aSafeguards.mEntry;
     options.mGuardSafeguards = aSafeguards.mGuard;
+    // 80 s into the run: the world's clock starts at 1000 s.
     constexpr seconds kResubmitUntil{ 1080 };
     options.mResubmitUntil = kResubmitUntil;
     mWorld = PrepareWorld(options);
@@ -123,11 +128,13 @@
       mWorld->At(start + fault.mAt + fault.mDuration,
                  [this, fault] { EndFault(fault); });
     }
-    // All is whole again after 16 s; jobs end by their deadlines, and
-    // nobody comes back later than the retention allows.
+    // All faults have ended after 16 s. 120 s leave time for all jobs to end
+    // by their deadlines and for resubmissions, which stop at kResubmitUntil
+    // so that none comes later than the retention of finished jobs.
     mWorld->RunUntil(start + seconds(120));
     check_options options;
-    options.mConfigDeadline = false; // cut-off processes are excused here
+    // Faults may cut processes off from new configurations.
+    options.mConfigDeadline = false;
     return Check(mWorld->History(), options);
   }
 
@@ -144,7 +151,8 @@
       mWorld->At(aStart + milliseconds(500 * i),
                  [this, request] { mWorld->Submit(request); });
       if (i % 4 == 0) {
-        // Believed lost, and submitted again elsewhere.
+        // A caller that believes its request lost submits the job again
+        // through another entry.
         caller_request duplicate = request;
         duplicate.mEntry++;
         duplicate.mPersistent = false;
@@ -313,7 +321,7 @@
   std::unique_ptr<world> mWorld;
 };
 
-// Drops faults one by one for as long as the promise stays broken.
+// Removes each fault without which some promise is still broken.
 schedule
 ShrinkSchedule(schedule aSchedule)
 {
@@ -375,9 +383,10 @@
   }
 }
 
-TEST_CASE("random schedules find a missing safeguard")
+TEST_CASE("random schedules break a promise when a safeguard is switched off")
 {
-  // Without these the tester would prove nothing.
+  // Guards against schedules or checks too weak to show the faults that these
+  // safeguards prevent.
   using s = scenario_safeguards;
   const std::function<void(s&)> kMutants[] = {
     [](s& aSet) { aSet.mEntry.mOwner.mUseRecords = false; },
