--- a/shell/http_server.cc
+++ b/shell/http_server.cc
@@ -11,12 +11,12 @@
 namespace cactusmast {
 namespace {
 
-// Refuses a body whose announced or received size is over the budget while
-// it arrives, instead of collecting it.
+// The size limit of a request body. A body that exceeds it is refused while it
+// arrives instead of being buffered.
 struct body_watch
 {
-  size_t mMax;
-  size_t mSeen = 0;
+  size_t mMax;      // bytes
+  size_t mSeen = 0; // bytes received so far
 };
 
 void
@@ -35,15 +35,16 @@
   }
 }
 
-// libsoup's own listener queues ten connections. Beyond that the kernel drops
-// them, and a client that opens many at once has some reset a second later,
-// not knowing whether its request was run.
+// libsoup's own listener has a backlog of 10. The kernel drops connections
+// beyond the backlog, and a client that opens many at once sees some of them
+// reset a second later without knowing whether their requests were run.
 constexpr int kBacklog = 1024;
 
-// While an answer is awaited the library does not read from the connection, so
-// it never learns that the client has closed it. Tasks of such a client would
-// run on, also after it has sent its job again elsewhere, which it does 1300 ms
-// later. Asking each socket this often leaves a second to stop them.
+// While a request waits for its answer, libsoup does not read from the
+// connection and does not detect that the client has closed it. The client's
+// tasks would keep running, even after it resubmits its job to another entry,
+// which it does 1300 ms later. Checking each socket at this interval leaves one
+// second to stop them.
 constexpr guint kHangUpIntervalMs = 200;
 
 gobject_ptr<GSocket>
@@ -68,22 +69,23 @@
   return up ? std::move(socket) : nullptr;
 }
 
-// Each context costs the main loop a descriptor to watch, and each connection
-// in a context costs the others there.
+// Each group costs the main loop one descriptor to poll, and each connection of
+// a group is polled whenever another one of the group is ready.
 constexpr size_t kConnectionsPerGroup = 16;
 constexpr size_t kMostGroups = 16;
-// Of one turn, so that a rush of new connections does not hold up the rest.
+// In one turn of the loop, so that a burst of new connections does not delay
+// other work.
 constexpr int kMaxAccepts = 32;
-// Where the address of a client keeps its connection's socket. The library
-// does not know the sockets of streams that it is handed.
+// Key under which a client's address object refers to the socket of its
+// connection. libsoup does not know the sockets of streams passed to it.
 constexpr char kSocketKey[] = "cactusmast-socket";
 
-// What there is to read from a connection.
+// What can be read from a connection.
 enum class arrival : uint8_t
 {
   Nothing,
   Data,
-  End // the other side has closed, or the connection broke
+  End // the client closed the connection, or it broke
 };
 
 arrival
@@ -115,9 +117,10 @@
                                g_object_get_data(G_OBJECT(client), kSocketKey));
 }
 
-// The library keeps a connection open after an answer only while its server
-// listens. Connections are accepted and dealt out here, so its own listener
-// gets a context that nobody runs.
+// libsoup keeps a connection open after an answer only while its server is
+// listening. Since http_server accepts connections itself and distributes them
+// over the groups, libsoup's listener is attached to a context that is never
+// run.
 bool
 ListenIdly(SoupServer* aServer, GSocket* aListener)
 {
@@ -252,7 +255,7 @@
   for (int i = 0; i < kMaxAccepts; i++) {
     gobject_ptr<GSocket> accepted(g_socket_accept(aListener, nullptr, nullptr));
     if (accepted == nullptr) {
-      break; // no more, or gone again
+      break; // no pending connection, or it was closed again
     }
     self->Accept(std::move(accepted));
   }
@@ -268,7 +271,7 @@
   gobject_ptr<GSocketAddress> client(
     g_socket_get_remote_address(aSocket.get(), nullptr));
   if (group == nullptr || local == nullptr || client == nullptr) {
-    return; // its client is gone again, or no descriptor is left for a group
+    return; // the client disconnected, or no descriptor is left for a group
   }
   g_socket_set_option(aSocket.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
   NameSocket(client.get(), aSocket.get());
@@ -318,7 +321,7 @@
       bool idle = busy.count(one) == 0 && group->mReading.count(one) == 0 &&
                   !g_socket_is_closed(one) && Peek(one) == arrival::Nothing;
       if (idle) {
-        // The library notices the end and frees the connection.
+        // libsoup detects the shutdown and frees the connection.
         g_socket_shutdown(one, TRUE, TRUE, nullptr);
       }
     }
@@ -489,7 +492,7 @@
     }
   }
   for (uint64_t id : left) {
-    // Nobody reads the answer; it makes the library close its side.
+    // Nobody reads this answer. It makes libsoup close its end.
     http_answer answer;
     answer.mStatus = SOUP_STATUS_SERVICE_UNAVAILABLE;
     answer.mClose = true;
--- a/shell/http_server.h
+++ b/shell/http_server.h
@@ -1,8 +1,9 @@
-// HTTP through libsoup's server. Callers keep many connections open of which
-// few are in use, so these are kept in groups that the main loop looks at only
-// when something comes over one of them (nested_context). A handler gets a
-// request and answers it at once or later, exactly once; when the client goes
-// away first, the answer is dropped and the handler is told.
+// An HTTP server on top of libsoup's. Callers keep many connections open, most
+// of which are idle, so connections are divided into groups that the main loop
+// polls only when one of the group is ready (nested_context). The handler
+// receives each request and answers it exactly once, immediately or later. If
+// the client disconnects first, the answer is discarded and the disconnect
+// handler is called.
 
 #ifndef SHELL_HTTP_SERVER_H_
 #define SHELL_HTTP_SERVER_H_
@@ -21,35 +22,44 @@
 
 namespace cactusmast {
 
+// The response to a request.
 struct http_answer
 {
   int mStatus = 200;
   std::string mBody;
+  // The Content-Type.
   std::string mType = "application/json";
+  // Sent as Retry-After, rounded up to seconds. 0 sends no such header.
   int64_t mRetryAfterMs = 0;
-  bool mClose = false; // the connection, after this answer
+  // Whether the connection is closed after this answer.
+  bool mClose = false;
 };
 
 // The answer that carries aError to the client.
 http_answer
 ErrorAnswer(const failure& aError);
 
+// A request that has not been answered yet.
 class http_exchange
 {
 public:
+  // Unique within its server.
   uint64_t Id() const { return mId; }
   const std::string& Method() const { return mMethod; }
   const std::string& Path() const { return mPath; }
   const std::string& Body() const { return mBody; }
-  // Empty when absent.
+  // The value of a request header; empty when absent.
   std::string Header(const char* aName) const;
+  // The value of a query parameter; empty when absent.
   std::string Query(const char* aName) const;
-  // Whether the client has closed the connection. Asks the socket: a process
-  // that stood still or fell behind reads requests whose clients left long ago,
-  // and the library tells of that only when it reads on.
+  // Whether the client has closed the connection. This checks the socket
+  // itself: a process that was suspended or fell behind reads requests whose
+  // clients disconnected long ago, and libsoup reports that only when it reads
+  // from the connection again.
   bool ClientDisconnected() const;
-  // A whole number from the query, or aDefault; values that are no number or
-  // over aMax count as aMax.
+  // The value of a query parameter as a non-negative integer. Returns aDefault
+  // when the parameter is absent, and aMax when its value is not a number or
+  // greater than aMax.
   uint32_t QueryNumber(const char* aName,
                        uint32_t aDefault,
                        uint32_t aMax) const;
@@ -62,47 +72,54 @@
   std::string mBody;
   std::map<std::string, std::string> mQuery;
   gobject_ptr<SoupServerMessage> mMessage;
-  nested_context* mContext = nullptr; // of the message's sources
-  gulong mFinishedHandler = 0;
+  // The context that the sources of the message's connection belong to.
+  nested_context* mContext = nullptr;
+  gulong mFinishedHandler = 0; // signal handler id
+  // Whether libsoup was told to wait for the answer.
   bool mPaused = false;
 };
 
 class http_server
 {
 public:
-  // Receives every request. May call Answer before it returns.
+  // Receives every request. It may call Answer before it returns.
   using handler = std::function<void(http_exchange&)>;
-  // The client closed its connection, or that broke, before its answer: told
-  // within 200 ms. A client that only stops sending counts as gone.
+  // Called with the exchange's id when the client closed its connection, or the
+  // connection broke, before the answer; at most 200 ms after that. A client
+  // that only shuts down its sending side counts as disconnected.
   using disconnect_handler = std::function<void(uint64_t)>;
 
+  // Listens on aListen (HOST:PORT by number). Requests whose body is larger
+  // than aMaxBody bytes are refused. Errors: Unavailable.
   static result<std::unique_ptr<http_server>> Create(const std::string& aListen,
                                                      size_t aMaxBody,
                                                      handler aHandler,
                                                      disconnect_handler aGone);
   ~http_server();
 
-  // Null when the exchange is over.
+  // Null when the exchange was answered or its client disconnected.
   http_exchange* Find(uint64_t aExchange);
-  // Ignored when the exchange is over.
+  // Ignored when the exchange was answered or its client disconnected.
   void Answer(uint64_t aExchange, const http_answer& aAnswer);
 
-  // Closes connections over which nothing is under way, so that their clients
-  // open others, elsewhere if this process takes no more. One whose client has
-  // just sent something stays open.
+  // Closes idle connections, so that their clients open new ones, to another
+  // process if this one no longer accepts any. A connection with unread data or
+  // with a request in progress stays open.
   void CloseIdle();
 
+  // Requests that have not been answered yet.
   size_t Open() const { return mOpen.size(); }
+  // Requests received since the start.
   uint64_t Served() const { return mServed; }
 
 private:
-  // Connections whose sources share a context.
+  // Connections whose sources share a nested context.
   struct connection_group
   {
     std::unique_ptr<nested_context> mContext;
     gobject_ptr<SoupServer> mServer;
-    std::set<GSocket*> mSockets; // of its connections
-    std::set<GSocket*> mReading; // those with a request read in part
+    std::set<GSocket*> mSockets; // of its open connections
+    std::set<GSocket*> mReading; // those whose request is partly read
   };
 
   http_server(size_t aMaxBody, handler aHandler, disconnect_handler aGone);
@@ -110,28 +127,33 @@
                                 GIOCondition aCondition,
                                 gpointer aData);
   void Accept(gobject_ptr<GSocket> aSocket);
-  // For as long as the socket is there.
+  // Adds the socket to its group until it is finalized.
   static void Remember(const std::shared_ptr<connection_group>& aGroup,
                        GSocket* aSocket);
   static void ForgetSocket(gpointer aData, GObject* aGone);
-  // The one with the fewest connections; null when none can be made.
+  // The group for a new connection: the one with the fewest connections, or a
+  // new one. Null when there is none and none can be created.
   std::shared_ptr<connection_group> ChooseGroup();
+  // Null when no context can be created.
   std::shared_ptr<connection_group> MakeGroup();
-  // Null for a server that is none of ours.
+  // The group of a libsoup server; null if there is none.
   connection_group* GroupOf(SoupServer* aServer) const;
   static void OnRequest(SoupServer* aServer,
                         SoupServerMessage* aMessage,
                         const char* aPath,
                         GHashTable* aQuery,
                         gpointer aData);
+  // Called when the headers of a request have been read.
   static void OnEarly(SoupServer* aServer,
                       SoupServerMessage* aMessage,
                       const char* aPath,
                       GHashTable* aQuery,
                       gpointer aData);
+  // Called when libsoup has given up an exchange before its answer.
   static void OnFinished(SoupServerMessage* aMessage, gpointer aData);
   static gboolean OnHangUpTimer(gpointer aData);
   void WatchHangUps();
+  // Ends the exchanges whose clients have disconnected.
   void DropHungUp();
 
   gobject_ptr<GSocket> mListener;
@@ -140,11 +162,11 @@
   size_t mMaxBody;
   handler mHandler;
   disconnect_handler mOnDisconnect;
-  std::map<uint64_t, std::unique_ptr<http_exchange>> mOpen;
+  std::map<uint64_t, std::unique_ptr<http_exchange>> mOpen; // by id
   std::map<SoupServerMessage*, uint64_t> mByMessage;
   uint64_t mNextId = 1;
   uint64_t mServed = 0;
-  guint mHangUpTimer = 0; // while exchanges are open
+  guint mHangUpTimer = 0; // source id; 0 while it is not running
 };
 
 } // namespace cactusmast
--- a/shell/testing/http_server_test.cc
+++ b/shell/testing/http_server_test.cc
@@ -1,4 +1,4 @@
-// What the HTTP server knows of a client that leaves.
+// HTTP server: clients that disconnect, and many open connections.
 
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
@@ -36,7 +36,7 @@
   REQUIRE(write(aFd, aText.data(), aText.size()) == ssize_t(aText.size()));
 }
 
-// A connection over which the request was sent.
+// Returns a new connection over which kRequest was sent.
 int
 SendRequest(uint16_t aPort)
 {
@@ -45,7 +45,8 @@
   return fd;
 }
 
-// Turns the main loop until aCount answers have come over the connection.
+// Runs the main loop until aCount answers have arrived on the connection, for
+// at most 5 seconds.
 void
 AwaitAnswers(int aFd, size_t aCount)
 {
@@ -67,7 +68,7 @@
   CHECK(answers == aCount);
 }
 
-// Descriptors that the main loop asks for in each turn.
+// The number of descriptors that the main loop polls in each turn.
 int
 PolledDescriptors()
 {
@@ -83,11 +84,11 @@
 
 } // namespace
 
-TEST_CASE("a request whose client has left is told from one that waits")
+TEST_CASE("a request whose client has disconnected is not taken for a live one")
 {
-  // A process stands still while requests arrive. Their clients give up, close
-  // their connections and send the requests elsewhere. The process wakes and
-  // reads them; if it took them for live ones, a user's order would run twice.
+  // Requests arrive while a process is suspended. Their clients time out, close
+  // the connections and send the requests to another entry. If the resumed
+  // process took the requests for live ones, a job would run twice.
   bool handled = false;
   bool left = false;
   loopback_server server = ServeOnLoopback([&](http_exchange& aOne) {
@@ -106,7 +107,7 @@
   CHECK(left);
 }
 
-TEST_CASE("a connection serves one request after the other")
+TEST_CASE("a connection stays usable for further requests after an answer")
 {
   loopback_server server;
   server = ServeOnLoopback(
@@ -116,16 +117,16 @@
     Send(client, kRequest);
     AwaitAnswers(client, 1);
   }
-  // Two at a time: the second is read with the first.
+  // Two requests at once: the second is read together with the first.
   Send(client, std::string(kRequest) + kRequest);
   AwaitAnswers(client, 2);
   close(client);
 }
 
-TEST_CASE("an answer that comes later is sent at once")
+TEST_CASE("a deferred answer is sent without waiting for other traffic")
 {
-  // Guards against an answer that waits until something else happens on the
-  // connections of its group.
+  // Guards against a deferred answer that stays unsent until another connection
+  // of the same group is ready.
   uint64_t held = 0;
   bool handled = false;
   loopback_server server = ServeOnLoopback([&](http_exchange& aOne) {
@@ -141,11 +142,11 @@
   close(client);
 }
 
-TEST_CASE("idle connections cost the main loop nothing")
+TEST_CASE("idle connections are not polled one by one by the main loop")
 {
-  // Guards against turns that go through every open connection: an entry with
-  // hundreds of idle ones would spend most of its time on them, and its callers
-  // would be served late.
+  // Guards against turns of the loop that poll every open connection: an entry
+  // with hundreds of idle ones would spend most of its time on them, and its
+  // callers would be answered late.
   constexpr int kIdle = 200;
   loopback_server server;
   server = ServeOnLoopback(
@@ -157,7 +158,7 @@
     AwaitAnswers(idle.back(), 1);
   }
   CHECK(PolledDescriptors() - before <= 16);
-  // All are still served, also under numbers that closed ones had.
+  // All are still served, also on descriptors that closed ones had used.
   for (int i = 0; i < kIdle; i += 2) {
     close(idle[size_t(i)]);
   }
@@ -172,10 +173,11 @@
   }
 }
 
-TEST_CASE("only idle connections are closed before a stop")
+TEST_CASE("a drain closes idle connections but none with a request in progress")
 {
-  // Guards against callers that are refused by a process which ends, over a
-  // connection that they kept, and against one that is cut off in its request.
+  // Guards against two failures: a caller that reuses a kept connection to a
+  // draining process and is refused, and a connection that is closed in the
+  // middle of its request.
   loopback_server server;
   uint64_t held = 0;
   server = ServeOnLoopback([&](http_exchange& aOne) {
@@ -192,7 +194,7 @@
     Send(one, kAsk);
     AwaitAnswers(one, 1);
   }
-  // Its body is still to come.
+  // The body is sent later.
   int half = Connect(server.mPort);
   Send(half,
        "PUT /job HTTP/1.1\r\nHost: a.example\r\nContent-Length: 2\r\n\r\n");
@@ -214,11 +216,11 @@
   }
 }
 
-TEST_CASE("a client that leaves while it waits for its answer is noticed")
+TEST_CASE("a client that disconnects before its answer is detected in time")
 {
-  // A caller hangs up while its job runs and sends the job to another entry
-  // 1300 ms later. If the first entry did not notice, its tasks would go on
-  // beside the second ones, and an order would be carried out twice.
+  // A caller disconnects while its job runs and resubmits it to another entry
+  // 1300 ms later. If the first entry did not detect this within a second, the
+  // tasks of both would run and the job would be carried out twice.
   bool handled = false;
   bool gone = false;
   uint64_t held = 0;
--- a/shell/testing/loopback.h
+++ b/shell/testing/loopback.h
@@ -1,5 +1,5 @@
-// HTTP servers on the loopback interface for tests, and turning the main loop
-// until something has happened.
+// Test helpers: HTTP servers on the loopback interface, and running the main
+// loop until a condition holds.
 
 #ifndef SHELL_TESTING_LOOPBACK_H_
 #define SHELL_TESTING_LOOPBACK_H_
@@ -19,13 +19,13 @@
   std::string Address() const { return "127.0.0.1:" + std::to_string(mPort); }
 };
 
-// On a free port. The test fails when none is found.
+// Starts a server on a free port. The test fails if none is found.
 loopback_server
 ServeOnLoopback(
   http_server::handler aHandler,
   http_server::disconnect_handler aGone = [](uint64_t) {});
 
-// Turns the main loop until aDone. The test fails after five seconds.
+// Runs the main loop until aDone is true. The test fails after 5 seconds.
 void
 TurnUntil(const bool& aDone);
 
--- a/util/constant_time.h
+++ b/util/constant_time.h
@@ -1,4 +1,4 @@
-// Comparison of secrets.
+// Comparison of secrets in constant time.
 
 #ifndef UTIL_CONSTANT_TIME_H_
 #define UTIL_CONSTANT_TIME_H_
@@ -7,8 +7,9 @@
 
 namespace cactusmast {
 
-// Takes the same time wherever the texts differ, so that a secret cannot be
-// guessed character by character. Only its length may show.
+// Whether the strings are equal. The time does not depend on where they differ,
+// so that a secret cannot be guessed character by character from response
+// times. It may reveal the length of the secret.
 inline bool
 EqualConstantTime(const std::string& aGiven, const std::string& aSecret)
 {
--- a/util/gobject_ptr.h
+++ b/util/gobject_ptr.h
@@ -13,7 +13,8 @@
   void operator()(gpointer aObject) const { g_object_unref(aObject); }
 };
 
-// Takes over the reference it is made from.
+// Owns one reference: it is constructed from a reference that the caller gives
+// up, and drops it on destruction.
 template<typename T>
 using gobject_ptr = std::unique_ptr<T, gobject_deleter>;
 
@@ -22,6 +23,7 @@
   void operator()(GError* aError) const { g_error_free(aError); }
 };
 
+// Owns a GError; null when there is none.
 using gerror_ptr = std::unique_ptr<GError, gerror_deleter>;
 
 } // namespace cactusmast
--- a/util/result.h
+++ b/util/result.h
@@ -1,6 +1,6 @@
-// A value or the error that prevented it. Factory functions return one, so
-// that construction never leaves a half-made object; callers that prefer
-// exceptions take Value(), which throws the error.
+// A value, or the error that prevented it. Factory functions return one, so
+// that a failed construction never leaves a partly initialised object. Callers
+// that prefer exceptions use Value(), which throws the error.
 
 #ifndef UTIL_RESULT_H_
 #define UTIL_RESULT_H_
