--- a/shell/http_client.cc
+++ b/shell/http_client.cc
@@ -5,18 +5,19 @@
 namespace cactusmast {
 namespace {
 
-// Idle connections are closed on this side first: a request that is sent into
-// one that the server has just closed fails without anybody knowing whether
-// it was run.
+// The client closes idle connections before the server does. A request that is
+// sent over a connection which the server has just closed fails, and it is
+// unknown whether it was run.
 constexpr guint kIdleSeconds = 4;
 
+// A request in flight.
 struct pending_request
 {
   http_client::callback mCallback;
   gobject_ptr<SoupMessage> mMessage;
   gobject_ptr<GCancellable> mCancellable;
-  guint mTimer = 0;
-  bool mStarted = false; // some of it was sent, at least once
+  guint mTimer = 0;      // source id; 0 without a timeout
+  bool mStarted = false; // whether sending has begun at least once
 };
 
 http_response
@@ -27,9 +28,8 @@
 {
   http_response response;
   if (aError != nullptr) {
-    // An idempotent request whose connection broke is sent again. If that finds
-    // nobody listening, the first sending may have been carried out all the
-    // same.
+    // libsoup resends an idempotent request whose connection broke. If the
+    // resend is refused, the first send may still have been carried out.
     bool refused =
       !aStarted &&
       (g_error_matches(aError, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED) ||
@@ -105,7 +105,8 @@
       made.get(), "application/json", body);
     g_bytes_unref(body);
   }
-  // A redirect would send the request to a server that nobody chose.
+  // A redirect would send the request to a server that the caller did not
+  // choose.
   soup_message_add_flags(made.get(), SOUP_MESSAGE_NO_REDIRECT);
   if (aRequest.mIdempotent) {
     soup_message_add_flags(made.get(), SOUP_MESSAGE_IDEMPOTENT);
@@ -123,14 +124,15 @@
                                        int(aConnections),
                                        "idle-timeout",
                                        kIdleSeconds,
-                                       // Addresses are numbers; the default
-                                       // resolver reads desktop settings.
+                                       // All addresses are numeric; the
+                                       // default proxy resolver reads desktop
+                                       // settings.
                                        "proxy-resolver",
                                        nullptr,
                                        nullptr)))
   , mTimeoutMs(aTimeoutMs)
 {
-  // Nothing here is compressed, and a decoder takes part in each request.
+  // Responses are never compressed, and the decoder costs time in each request.
   soup_session_remove_feature_by_type(mSession.get(),
                                       SOUP_TYPE_CONTENT_DECODER);
 }
--- a/shell/http_client.h
+++ b/shell/http_client.h
@@ -1,4 +1,4 @@
-// Asynchronous HTTP requests through libsoup.
+// An HTTP client on top of libsoup.
 
 #ifndef SHELL_HTTP_CLIENT_H_
 #define SHELL_HTTP_CLIENT_H_
@@ -13,13 +13,13 @@
 
 namespace cactusmast {
 
-// What went wrong below HTTP.
+// A failure below HTTP: the request got no HTTP response.
 enum class http_fault : uint8_t
 {
   None,
-  Refused,   // no connection was made, so nothing was sent
-  Broken,    // sent, perhaps in part; no answer
-  Cancelled, // by this side, or its time limit
+  Refused,   // no connection was established, so nothing was sent
+  Broken,    // some or all of it may have been sent; no response
+  Cancelled, // by the caller or by the timeout
   Count
 };
 
@@ -29,43 +29,47 @@
   std::string mUrl;
   std::vector<std::pair<std::string, std::string>> mHeaders;
   std::string mBody;
-  // May be carried out twice without harm. Only such requests reuse an open
-  // connection: libsoup opens a new one for every other POST, since the server
-  // may close an idle connection at the moment a request is sent into it. It
-  // sends an idempotent one again by itself when that happens.
+  // Whether the request may be carried out twice without harm. Only idempotent
+  // requests reuse an open connection: libsoup opens a new one for every other
+  // POST, because the server may close an idle connection at the moment a
+  // request is sent over it. libsoup resends an idempotent request when that
+  // happens.
   bool mIdempotent = false;
-  uint32_t mTimeoutMs = 0; // 0: the client's
+  uint32_t mTimeoutMs = 0; // 0: the client's timeout applies
 };
 
 struct http_response
 {
   http_fault mFault = http_fault::None;
-  int mStatus = 0;
-  std::string mBody;
-  std::string mText;      // of the fault
-  std::string mRunHeader; // X-Run, when the server sent it
+  int mStatus = 0;        // HTTP status code; 0 after a fault
+  std::string mBody;      // empty after a fault
+  std::string mText;      // describes the fault; empty without one
+  std::string mRunHeader; // value of X-Run; empty when absent
 };
 
+// Sends requests asynchronously and reuses connections.
 class http_client
 {
 public:
   using callback = std::function<void(const http_response&)>;
 
-  // aConnections: at most this many to one server. aTimeoutMs: of one
-  // request; 0 for none.
+  // aConnections: maximum number of open connections, in total and to one
+  // server. aTimeoutMs: default timeout of a request; 0 for none.
   http_client(uint32_t aConnections, uint32_t aTimeoutMs);
   ~http_client();
 
-  // The callback runs once, from the main loop. The result cancels it.
+  // The callback runs exactly once, from the main loop. The returned object
+  // cancels the request; the callback then gets http_fault::Cancelled.
   gobject_ptr<GCancellable> Send(const http_request& aRequest,
                                  callback aCallback);
 
 private:
   gobject_ptr<SoupSession> mSession;
-  uint32_t mTimeoutMs;
+  uint32_t mTimeoutMs; // default; 0 for none
 };
 
-// Sends one request and waits for its answer; for command-line tools.
+// Sends one request and blocks until its response; for command-line tools.
+// aTimeoutMs is rounded up to seconds; 0 for none.
 http_response
 SendAndWait(const http_request& aRequest, uint32_t aTimeoutMs);
 
--- a/shell/nested_context.cc
+++ b/shell/nested_context.cc
@@ -6,6 +6,7 @@
 namespace cactusmast {
 namespace {
 
+// The source in the main context, with a pointer to its nested context.
 struct nested_source
 {
   GSource mBase;
@@ -45,7 +46,8 @@
   mSource = g_source_new(&functions, sizeof(nested_source));
   reinterpret_cast<nested_source*>(mSource)->mOwner = this;
   g_source_add_unix_fd(mSource, mEpoll, G_IO_IN);
-  // As for all sources here: spares two system calls for each dispatch.
+  // The main loop is never run recursively, so GLib need not remove the source
+  // from the poll set during a dispatch, which costs two system calls.
   g_source_set_can_recurse(mSource, TRUE);
   g_source_attach(mSource, nullptr);
 }
@@ -157,7 +159,7 @@
   }
   for (const auto& [fd, events] : mWatched) {
     if (wanted.count(fd) == 0) {
-      // Fails for one that was closed, which has left the set by itself.
+      // Fails for a closed descriptor, which the kernel has already removed.
       epoll_ctl(mEpoll, EPOLL_CTL_DEL, fd, nullptr);
     }
   }
--- a/shell/nested_context.h
+++ b/shell/nested_context.h
@@ -1,17 +1,19 @@
-// A GLib context of its own whose sources are looked at only when one of them
-// has something to do.
+// A separate GLib context whose sources are checked only when one of them is
+// ready.
 //
-// GLib looks at every source in each turn of its loop. Hundreds of connections
-// that are idle nearly all the time would cost each turn more than the work in
-// it. Their sources go into nested contexts instead: the main loop watches one
-// epoll set for each, and a turn that concerns none of them costs none of them
-// anything.
+// GLib checks every source in each turn of its loop. With hundreds of mostly
+// idle connections this would cost each turn more than the actual work. Their
+// sources are attached to nested contexts instead: the main loop polls a single
+// epoll descriptor for each nested context, and a turn in which none of its
+// sources is ready costs nothing per source.
 //
 //   auto nested = std::move(nested_context::Create().Value());
-//   nested->Enter([&] { ... attach sources to the thread's default context ...
-//   }); nested->Wake(); // after sources were attached from elsewhere
+//   // Attach sources to the thread's default context:
+//   nested->Enter([&] { ... });
+//   // After sources were attached or changed outside Enter:
+//   nested->Wake();
 //
-// Sources in it are dispatched from the main loop, on the same thread, with the
+// The sources are dispatched from the main loop, on the same thread, with the
 // nested context as the thread's default.
 
 #ifndef SHELL_NESTED_CONTEXT_H_
@@ -30,17 +32,17 @@
 class nested_context
 {
 public:
-  // Errors: Unavailable, when no more descriptors can be had.
+  // Errors: Unavailable, when the process has no free descriptor.
   static result<std::unique_ptr<nested_context>> Create();
   ~nested_context();
 
-  // Calls aDo with this context as the thread's default.
+  // Calls aDo with this context as the thread's default, then Wake.
   void Enter(const std::function<void()>& aDo);
-  // Has the main loop look at all sources in its next turn.
+  // Makes the main loop check all sources of this context in its next turn.
   void Wake();
-  // Must be called before a descriptor with a number that may have been used
-  // here before is watched by a source: closing the earlier one took it out of
-  // the epoll set unseen.
+  // Must be called before a source polls a new descriptor whose number an
+  // earlier descriptor of this context may have had. Closing the earlier one
+  // removed it from the epoll set without this object being told.
   void Forget(int aFd);
 
 private:
@@ -48,25 +50,25 @@
   static gboolean OnReady(GSource* aSource,
                           GSourceFunc aCallback,
                           gpointer aData);
-  // Dispatches all that is ready.
+  // Dispatches sources until none is ready.
   void Run();
-  // The descriptors that the sources wait for now; the result is how long they
-  // may be left alone, in ms, below 0 for ever.
+  // Sets mPolled to the descriptors that the sources wait for. Returns the time
+  // in ms until a source is due without input; negative means never.
   int Prepare(int* aPriority);
-  // Events that have come, into mPolled; false when there are none in it.
+  // Stores the pending events in mPolled; false when there are none.
   bool Collect();
-  // Brings the epoll set up to mPolled.
+  // Updates the epoll set to match mPolled.
   void Watch();
 
   int mEpoll;
   GMainContext* mContext;
-  GSource* mSource; // in the main context
+  GSource* mSource; // in the main context; polls mEpoll
   std::vector<GPollFD> mPolled;
-  std::unordered_map<int, uint32_t> mWatched; // events by descriptor
+  std::unordered_map<int, uint32_t> mWatched; // epoll events by descriptor
 };
 
-// Calls aDo with the main context as the thread's default, for what is called
-// from within a nested one and may attach sources of its own.
+// Calls aDo with the main context as the thread's default. Used for callbacks
+// that run while a nested context is dispatched and may attach sources.
 void
 OutsideNested(const std::function<void()>& aDo);
 
--- a/shell/own_wakeups.cc
+++ b/shell/own_wakeups.cc
@@ -7,13 +7,14 @@
 namespace cactusmast {
 namespace {
 
+// The wake-up descriptor of the default main context, an eventfd.
 int gWakeDescriptor = -1;
 
 gint
 PollWithoutOwnWakeups(GPollFD* aDescriptors, guint aCount, gint aTimeoutMs)
 {
   if (aTimeoutMs != 0) {
-    // It never blocks; with no signal pending there is nothing to read.
+    // The descriptor is non-blocking: without a pending signal, read fails.
     uint64_t signals = 0;
     ssize_t got = read(gWakeDescriptor, &signals, sizeof signals);
     (void)got;
