--- a/shell/peer_transport.cc
+++ b/shell/peer_transport.cc
@@ -15,8 +15,9 @@
 constexpr size_t kReadChunk = 256u << 10;
 constexpr size_t kMaxGreetingFrame = 4096;
 constexpr int kMaxReadsPerTurn = 8;
-// A quiet connection is given up after some three seconds. The other machine
-// may be back after that time and serve nobody until its peers dial it anew.
+// An idle connection to a machine that does not respond is closed after about 3
+// seconds. The machine may be back by then, but it serves no peer until that
+// peer connects again.
 constexpr int kProbeAfterS = 1;
 constexpr int kProbeIntervalS = 1;
 constexpr int kProbes = 2;
@@ -128,8 +129,8 @@
   }
   mEpollSource =
     g_unix_fd_add(mEpoll, G_IO_IN, &peer_transport::OnEpollReady, this);
-  // The loop is never run from within itself, so GLib need not take the source
-  // out of the poll set while it is dispatched, which costs two system calls.
+  // The main loop is never run recursively, so GLib need not remove the source
+  // from the poll set during a dispatch, which costs two system calls.
   g_source_set_can_recurse(
     g_main_context_find_source_by_id(nullptr, mEpollSource), TRUE);
   mAcceptSource = g_socket_create_source(mServer.get(), G_IO_IN, nullptr);
@@ -261,7 +262,8 @@
 peer_transport::OnHello(link& aLink, const wire::hello_msg& aHello)
 {
   if (aHello.protocol != kProtocolVersion) {
-    FailProtocol(aLink, "protocol version " + std::to_string(aHello.protocol));
+    FailProtocol(
+      aLink, "unsupported protocol version " + std::to_string(aHello.protocol));
     return;
   }
   if (aLink.mPeerNonce.empty()) {
@@ -328,7 +330,7 @@
     return;
   }
   if (aMessage.type != message_kind::hello) {
-    FailProtocol(aLink, "a message before the hello");
+    FailProtocol(aLink, "a message before the handshake was complete");
     return;
   }
   OnHello(aLink, *aMessage.Ashello());
@@ -342,7 +344,7 @@
     while (aLink.mState != link_state::Closed && aLink.mReader.Next(&frame)) {
       if (aLink.mState != link_state::Ready &&
           frame.size() > kMaxGreetingFrame) {
-        FailProtocol(aLink, "a large frame before the hello");
+        FailProtocol(aLink, "a frame over the size limit of the handshake");
         return;
       }
       result<message> decoded = DecodeEnvelope(frame, aLink.mLabel);
@@ -412,8 +414,9 @@
   epoll_event ready[kMaxReady];
   int count = epoll_wait(mEpoll, ready, kMaxReady, 0);
   for (int i = 0; i < count; i++) {
-    // A link that an earlier one of these closed stays in the table until the
-    // next sweep, so the number cannot mean another one.
+    // A link that was closed while handling an earlier event stays in mLinks
+    // until the next sweep, and ids are not reused, so the id cannot refer to
+    // another link.
     auto found = mLinks.find(ready[i].data.u32);
     if (found == mLinks.end()) {
       continue;
@@ -490,7 +493,8 @@
   EncodeFrame(aMessage, &target.mOut);
   mCounters.mMessagesOut++;
   if (target.mOut.size() - target.mOutDone > mOptions.mMaxSend) {
-    // It stopped reading. What was sent is settled by asking once it is back.
+    // The peer has stopped reading. Whether it got the messages is resolved by
+    // asking it after it has connected again.
     mCounters.mSendBudgetSpent++;
     mEvents.Emit(event_code::BudgetSpent,
                  { { "budget", "send" }, { "peer", target.mLabel } });
@@ -533,7 +537,7 @@
   }
   bool wasReady = aLink.mState == link_state::Ready;
   aLink.mState = link_state::Closed;
-  // Closing takes it out of the epoll set.
+  // Closing the socket also removes it from the epoll set.
   g_socket_close(aLink.mSocket.get(), nullptr);
   if (aTell && wasReady) {
     mListener.OnPeerDown(aLink.mId);
--- a/shell/peer_transport.h
+++ b/shell/peer_transport.h
@@ -1,14 +1,15 @@
 // Connections between processes of the system: TCP with framed FlatBuffers,
 // driven by the GLib main loop.
 //
-// Both ends begin with a hello that carries a fresh nonce, and continue with
-// a second hello that proves knowledge of the deployment's shared key by an
-// HMAC-SHA256 over both nonces and the sender's identity. Nothing else is
-// read from a peer before its proof, and frames before it must be small. The
-// proof keeps strangers out; it does not encrypt.
+// Each side first sends a hello with a fresh nonce, and then a second hello
+// that proves knowledge of the deployment's shared key by an HMAC-SHA256 over
+// both nonces and the sender's identity. Until a peer has given its proof, no
+// other message is accepted from it and its frames must be small. The proof
+// authenticates peers; it does not encrypt the connection.
 //
-// A peer that stops reading is cut off once its send budget is spent, and one
-// that sends a malformed or oversized frame at once; both are counted.
+// The connection to a peer that stops reading is closed once its send budget is
+// spent, and that to a peer that sends a malformed or oversized frame is closed
+// immediately. Both are counted.
 
 #ifndef SHELL_PEER_TRANSPORT_H_
 #define SHELL_PEER_TRANSPORT_H_
@@ -27,38 +28,44 @@
 
 struct transport_options
 {
-  std::string mListen; // HOST:PORT by number
+  std::string mListen; // HOST:PORT, both numeric
   peer_identity mSelf;
   std::string mSharedKey;
+  // Maximum size of a received frame, in bytes.
   size_t mMaxFrame = 16u << 20;
+  // Send budget: maximum number of unsent bytes of one peer.
   size_t mMaxSend = 32u << 20;
-  // From dialling or accepting to the proof of identity.
+  // From connecting or accepting until the peer has proved its identity.
   uint32_t mHandshakeLimitMs = 3000;
-  // Until the other machine accepts the connection, which its kernel does
+  // Until the other machine accepts the connection. Its kernel does this
   // without the process.
   uint32_t mConnectLimitMs = 3000;
-  // Whether the kernel probes quiet connections, and gives up those over which
-  // nothing is acknowledged. Without, a machine that went without a word is
-  // noticed only by a listener that expects messages.
+  // Whether the kernel probes idle connections and closes those on which data
+  // is not acknowledged. Without this, a machine that fails without closing its
+  // connections is detected only by a listener that expects messages.
   bool mKeepAlive = false;
 };
 
+// Totals since the transport was created.
 struct transport_counters
 {
   uint64_t mBytesIn = 0;
   uint64_t mBytesOut = 0;
   uint64_t mMessagesIn = 0;
   uint64_t mMessagesOut = 0;
-  uint64_t mProtocolErrors = 0;
-  uint64_t mRefusedPeers = 0;
-  uint64_t mSendBudgetSpent = 0;
+  uint64_t mProtocolErrors = 0;  // malformed, oversized or unexpected frames
+  uint64_t mRefusedPeers = 0;    // peers without a valid identity or proof
+  uint64_t mSendBudgetSpent = 0; // connections closed for that reason
 };
 
+// Receives what happens on the connections.
 class transport_listener
 {
 public:
   virtual ~transport_listener() = default;
+  // The peer has proved its identity. Messages may be sent from now on.
   virtual void OnPeerUp(peer_id aPeer, const peer_identity& aIdentity) = 0;
+  // The connection of an authenticated peer has ended, but not by Close.
   virtual void OnPeerDown(peer_id aPeer) = 0;
   virtual void OnPeerMessage(peer_id aPeer, const message& aMessage) = 0;
 };
@@ -66,6 +73,7 @@
 class peer_transport : public peer_network
 {
 public:
+  // Listens on aOptions.mListen. Errors: Unavailable.
   static result<std::unique_ptr<peer_transport>> Create(
     transport_options aOptions,
     transport_listener& aListener,
@@ -76,22 +84,23 @@
   void Close(peer_id aPeer) override;
   void Connect(const std::string& aAddress) override;
 
-  // Writes what was sent since the last call. Batching the writes of one loop
-  // turn costs one system call for each peer instead of one a message.
+  // Writes the messages sent since the last call. Batching the writes of one
+  // turn of the loop costs one system call per peer instead of one per message.
   void Flush();
-  // Ends handshakes that take too long and frees closed links.
+  // Closes links whose handshake has timed out and frees closed links.
   void Sweep();
 
   const transport_counters& Counters() const { return mCounters; }
   size_t Links() const { return mLinks.size(); }
+  // Whether output of any authenticated peer is unsent.
   bool OutputPending() const;
 
 private:
   enum class link_state : uint8_t
   {
     Connecting,
-    Handshaking, // our hello is sent
-    Ready,
+    Handshaking, // our first hello is sent or queued
+    Ready,       // the peer has proved its identity
     Closed
   };
 
@@ -105,17 +114,17 @@
     peer_id mId = 0;
     link_state mState = link_state::Connecting;
     gobject_ptr<GSocket> mSocket;
-    bool mWatched = false;     // known to the epoll set
-    bool mWatchOutput = false; // and for output as well
+    bool mWatched = false;     // whether it is in the epoll set
+    bool mWatchOutput = false; // whether the epoll set waits for output space
     frame_reader mReader;
-    std::string mOut;
-    size_t mOutDone = 0;
-    std::string mAddress; // when this side dialled
-    std::string mNonce;
-    std::string mPeerNonce;
-    peer_identity mIdentity;
-    gint64 mSince = 0;
-    std::string mLabel;
+    std::string mOut;        // output, of which mOutDone bytes are written
+    size_t mOutDone = 0;     // bytes
+    std::string mAddress;    // as given to Connect; empty for an accepted link
+    std::string mNonce;      // ours
+    std::string mPeerNonce;  // empty until the peer's first hello
+    peer_identity mIdentity; // valid once Ready
+    gint64 mSince = 0;       // monotonic time of its creation, in us
+    std::string mLabel;      // the peer's name, for logs; empty until Ready
   };
 
   peer_transport(transport_options aOptions,
@@ -125,6 +134,7 @@
   link& AddLink(gobject_ptr<GSocket> aSocket, link_state aState);
   void SetOptions(GSocket* aSocket) const;
   void SendHello(link& aLink);
+  // Closes the link. With aTell, calls OnPeerDown if it was Ready.
   void Shut(link& aLink, bool aTell);
   void OnReadable(link& aLink);
   void OnWritable(link& aLink);
@@ -132,7 +142,10 @@
   void OnFrame(link& aLink, const message& aMessage);
   void OnHello(link& aLink, const wire::hello_msg& aHello);
   void FlushLink(link& aLink);
+  // Counts and logs a protocol error and closes the link.
   void FailProtocol(link& aLink, const std::string& aText);
+  // HMAC over the receiver's nonce, the sender's nonce and the sender's
+  // identity as stated in aHello.
   std::string Proof(const std::string& aTheirNonce,
                     const std::string& aOwnNonce,
                     const wire::hello_msg& aHello) const;
@@ -144,6 +157,8 @@
                                GIOCondition aCondition,
                                gpointer aData);
   void HandleReady();
+  // Makes the epoll set wait for input on the link and, with aOutput, until it
+  // can be written to.
   void Watch(link& aLink, bool aOutput);
 
   transport_options mOptions;
@@ -151,19 +166,20 @@
   event_sink& mEvents;
   gobject_ptr<GSocket> mServer;
   GSource* mAcceptSource = nullptr;
-  // GLib polls every source it knows on each turn of the loop, which costs by
-  // the number of links. All links are therefore in one epoll set, and GLib
-  // knows that alone.
+  // GLib polls each of its sources in every turn of the loop, at a cost that
+  // grows with the number of links. Therefore all links are in one epoll set,
+  // and only the epoll descriptor is a GLib source.
   int mEpoll = -1;
   guint mEpollSource = 0;
   std::map<peer_id, std::unique_ptr<link>> mLinks;
-  std::vector<peer_id> mUnflushed; // sent to since the last Flush
-  gint64 mNextSweep = 0;
+  std::vector<peer_id> mUnflushed; // peers with output since the last Flush
+  gint64 mNextSweep = 0;           // monotonic time in us
   peer_id mNextId = 1;
   transport_counters mCounters;
 };
 
-// Parses HOST:PORT by number; null when it is not one.
+// Parses HOST:PORT with a numeric host and port; null when the address is not
+// valid.
 gobject_ptr<GSocketAddress>
 ParseAddress(const std::string& aText);
 
