--- a/shell/backend_client.cc
+++ b/shell/backend_client.cc
@@ -3,7 +3,7 @@
 namespace cactusmast {
 namespace {
 
-// The users' limit of connections to one runner.
+// Limit that the users set for connections to one runner.
 constexpr uint32_t kConnections = 64;
 constexpr int kOk = 200;
 
@@ -76,8 +76,8 @@
   if (found == mRunning.end()) {
     return;
   }
-  // Tell the backend server first: dropping the connection alone need not
-  // stop its work.
+  // Request the cancellation first: closing the connection alone may not stop
+  // the task.
   http_request request;
   request.mUrl = mUrl + "/cancel";
   request.mHeaders = { { "X-Task", TaskName(aRef) } };
--- a/shell/backend_client.h
+++ b/shell/backend_client.h
@@ -1,4 +1,4 @@
-// Runs tasks on the backend server beside a guard, over loopback HTTP
+// Runs tasks on the backend server of a guard, over loopback HTTP
 // (docs/API.md, "Backend servers").
 
 #ifndef SHELL_BACKEND_CLIENT_H_
@@ -18,9 +18,10 @@
 public:
   using callback = std::function<void(const task_completion&)>;
 
+  // aOnEnd is called once for each started task, from the main loop.
   explicit backend_client(callback aOnEnd);
 
-  // Where tasks go from now on.
+  // Sets the URL, without a path, of the backend server for later requests.
   void SetUrl(const std::string& aUrl) { mUrl = aUrl; }
 
   void Start(const task_start& aTask) override;
--- a/shell/log_sink.cc
+++ b/shell/log_sink.cc
@@ -14,16 +14,19 @@
 namespace cactusmast {
 namespace {
 
-// An entry with 100 jobs a second writes about 400 lines: four to a job.
+// Limit of lines below severity Error. An entry with 100 jobs per second writes
+// about 400 lines per second, four per job.
 constexpr uint32_t kLinesPerSecond = 600;
-// Of these, lines that tell how a job got to its ending. Several come for each
-// job, so under load they would use up the budget before the endings came, and
-// a job that went wrong could not be found at all.
+// Part of the limit above that progress events of jobs may use. There are
+// several for each job, so that under load they would exhaust the limit, the
+// endings of jobs would be dropped, and a failed job could not be found in the
+// log.
 constexpr uint32_t kStepLinesPerSecond = 350;
 
-uint64_t gUnwritten = 0; // lines that the stream did not take
+// Lines that the stream did not accept and that were not reported yet.
+uint64_t gUnwritten = 0;
 
-// Writes whole lines to a descriptor that must not block.
+// Writes lines to a descriptor, which it makes non-blocking.
 class descriptor_backend
   : public boost::log::sinks::basic_formatted_sink_backend<
       char,
@@ -36,7 +39,7 @@
     fcntl(mFd, F_SETFL, fcntl(mFd, F_GETFL) | O_NONBLOCK);
   }
 
-  // The name is fixed by Boost.Log.
+  // Boost.Log requires this name.
   // NOLINTNEXTLINE(readability-identifier-naming)
   void consume(const boost::log::record_view& /*aRecord*/,
                const std::string& aLine)
@@ -73,6 +76,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
+// Whether the text needs no escaping in JSON.
 bool
 IsPlain(std::string_view aText)
 {
@@ -85,6 +89,7 @@
   return true;
 }
 
+// Appends a text as a JSON string.
 void
 AppendText(std::string_view aText, std::string* aOut)
 {
@@ -107,6 +112,7 @@
   AppendText(aValue, aOut);
 }
 
+// Whether the event tells the progress of a job before its ending.
 bool
 IsStepOfJob(event_code aCode)
 {
--- a/shell/log_sink.h
+++ b/shell/log_sink.h
@@ -1,9 +1,9 @@
-// Structured logs: one JSON object a line, by Boost.Log.
+// Structured logs: one JSON object per line, written through Boost.Log.
 //
-// Writing never blocks: what the reader of the stream does not take at once is
-// dropped, and so are lines below Error beyond kLinesPerSecond, a part of which
-// is kept for others than the steps of jobs. The number of dropped lines is
-// logged once a second while there are any.
+// Writing never blocks. Lines that the stream does not accept immediately are
+// dropped. Lines below severity Error are limited to kLinesPerSecond, of which
+// progress events of jobs get only a part; those beyond are dropped as well.
+// The number of dropped lines is logged, at most once a second.
 
 #ifndef SHELL_LOG_SINK_H_
 #define SHELL_LOG_SINK_H_
@@ -14,32 +14,36 @@
 
 namespace cactusmast {
 
+// A standard stream.
 enum class log_stream : uint8_t
 {
-  Output, // standard output
-  Error,  // standard error
+  Output,
+  Error,
   Count
 };
 
-// One event as a JSON object on one line. Written out by hand: an entry writes
-// hundreds a second, and the JSON library takes several times as long.
+// Returns an event as a JSON object on one line. Does not use the JSON library,
+// which takes several times as long, because an entry writes hundreds of lines
+// per second. aNowMs: wall-clock time in ms since 1970.
 std::string
 RenderLogLine(const event_row& aRow,
               int64_t aNowMs,
               const std::string& aProcess,
               const std::vector<event_field>& aFields);
 
+// Writes events to a standard stream.
 class log_sink : public event_sink
 {
 public:
-  // aProcess stands in every line. Events below aLeast are not logged. All
-  // sinks of a process write to the stream of the first.
+  // aProcess is the process name in every line. Events below aLeast are not
+  // logged. All sinks of a process write to the stream of the first one.
   log_sink(std::string aProcess,
            severity aLeast,
            log_stream aStream = log_stream::Error);
   void Emit(event_code aCode, std::vector<event_field> aFields) override;
 
 private:
+  // Counts the line; false when it is over the limit and must be dropped.
   bool WithinBudget(int64_t aNowMs, const event_row& aRow);
   void Write(const event_row& aRow,
              int64_t aNowMs,
@@ -47,10 +51,10 @@
 
   std::string mProcess;
   severity mLeast;
-  int64_t mSecond = 0;
+  int64_t mSecond = 0; // since 1970; the second that is being counted
   uint32_t mLinesInSecond = 0;
   uint32_t mStepLinesInSecond = 0;
-  uint64_t mDropped = 0;
+  uint64_t mDropped = 0; // lines over the limit that were not reported yet
 };
 
 } // namespace cactusmast
--- a/shell/metrics_page.cc
+++ b/shell/metrics_page.cc
@@ -115,12 +115,13 @@
     seconds[center] = MsBetween(since, aNow) / kMsInSecond;
   }
   aPage->Gauges(kEvacuatedMetric,
-                "For how long this process has known that the data centre is "
-                "being evacuated.",
+                "Time since this process learned that the data centre is being "
+                "evacuated.",
                 "data_center",
                 seconds);
   aPage->Gauge(kEvacuationsAgeMetric,
-               "Since the store last said what is being evacuated.",
+               "Time since the store last reported which data centres are "
+               "evacuated.",
                double(ToMs(aKnown.Age(aNow))) / kMsInSecond);
 }
 
--- a/shell/metrics_page.h
+++ b/shell/metrics_page.h
@@ -1,6 +1,7 @@
-// Metrics in the Prometheus text format, by prometheus-cpp's serializer. The
-// values are read from the node's own counters when the page is asked for, so
-// nothing is counted twice and no second thread or server is needed.
+// Metrics in the Prometheus text format, rendered by prometheus-cpp's
+// serializer. The values are taken from the process's own counters when the
+// page is requested, so that nothing is counted twice and no additional thread
+// or server is needed.
 
 #ifndef SHELL_METRICS_PAGE_H_
 #define SHELL_METRICS_PAGE_H_
@@ -16,6 +17,7 @@
 
 namespace cactusmast {
 
+// Collects the metrics of one page. Every metric is added once.
 class metrics_page
 {
 public:
@@ -23,12 +25,12 @@
                const std::string& aHelp,
                double aValue);
   void Gauge(const std::string& aName, const std::string& aHelp, double aValue);
-  // One value for each value of a label.
+  // A gauge with the label aLabel. aValues: gauge by value of the label.
   void Gauges(const std::string& aName,
               const std::string& aHelp,
               const std::string& aLabel,
               const std::map<std::string, double>& aValues);
-  // Seconds, as is usual in this format.
+  // A histogram in seconds, the usual unit of the format.
   void Latency(const std::string& aName,
                const std::string& aHelp,
                const latency_histogram& aMeasured);
@@ -46,13 +48,14 @@
 constexpr char kEvacuatedMetric[] = "cactusmast_evacuated_seconds";
 constexpr char kEvacuationsAgeMetric[] = "cactusmast_evacuations_age_seconds";
 
-// What the process knows of evacuations, and how long ago the store told it.
+// Adds for how long each evacuated data centre has been known as such, and the
+// time since the store last reported the evacuations.
 void
 AddEvacuationMetrics(const evacuation_tracker& aKnown,
                      instant aNow,
                      metrics_page* aPage);
 
-// Resident memory and processor time of this process.
+// Adds resident memory and processor time of this process.
 void
 AddProcessMetrics(metrics_page* aPage);
 
--- a/shell/metrics_reader.cc
+++ b/shell/metrics_reader.cc
@@ -6,7 +6,7 @@
 namespace cactusmast {
 namespace {
 
-// The text between the first two quotes; empty without any.
+// Returns the text between the first two quotes; empty if there are none.
 std::string
 Quoted(const std::string& aText)
 {
--- a/shell/metrics_reader.h
+++ b/shell/metrics_reader.h
@@ -1,4 +1,4 @@
-// Reads values back from a metrics page, for the command line.
+// Parses metrics pages, for the command-line tool.
 
 #ifndef SHELL_METRICS_READER_H_
 #define SHELL_METRICS_READER_H_
@@ -8,9 +8,9 @@
 
 namespace cactusmast {
 
-// The values of the metric aName by the value of their one label; the key is
-// empty where there is no label. aPage: Prometheus text. Lines that cannot be
-// read are skipped.
+// Returns the values of the metric aName by the value of its only label; the
+// key is empty for a line without a label. aPage: Prometheus text format.
+// Malformed lines are skipped.
 std::map<std::string, double>
 ReadGauges(const std::string& aPage, const std::string& aName);
 
--- a/shell/table_client.h
+++ b/shell/table_client.h
@@ -1,4 +1,4 @@
-// The platform's table service over its HTTP protocol (docs/PROTOCOL.md).
+// Client of the platform's table service over HTTP (docs/PROTOCOL.md).
 
 #ifndef SHELL_TABLE_CLIENT_H_
 #define SHELL_TABLE_CLIENT_H_
@@ -11,11 +11,12 @@
 
 namespace cactusmast {
 
+// Totals since the client was created.
 struct table_counters
 {
-  uint64_t mReads = 0;
-  uint64_t mWrites = 0;
-  uint64_t mUnavailable = 0;
+  uint64_t mReads = 0;       // requests
+  uint64_t mWrites = 0;      // commits, of one or more rows each
+  uint64_t mUnavailable = 0; // replies with status Unavailable
 };
 
 class table_client : public table_store
@@ -23,6 +24,8 @@
 public:
   using callback = std::function<void(const table_reply&)>;
 
+  // aUrl: of the service, without a path. aTimeoutMs: of one request; 0 for
+  // none. aOnReply is called once for each request, from the main loop.
   table_client(std::string aUrl, uint32_t aTimeoutMs, callback aOnReply);
 
   uint64_t Read(const std::string& aPrefix,
@@ -39,7 +42,7 @@
   std::string mUrl;
   http_client mClient;
   callback mOnReply;
-  uint64_t mNext = 1;
+  uint64_t mNext = 1; // next request number
   table_counters mCounters;
 };
 
--- a/shell/testing/daemon_test.cc
+++ b/shell/testing/daemon_test.cc
@@ -1,4 +1,4 @@
-// The main loop of the daemons.
+// Tests of the main loop of the daemons.
 
 #include <doctest/doctest.h>
 
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-// A node that is never drained, in a loop that always has work.
+// A daemon that never finishes draining and whose main loop always has work.
 class busy_daemon : public daemon_loop
 {
 public:
@@ -25,7 +25,7 @@
   void OnAbort() override { mWasAborted = true; }
 
 private:
-  // Gives up after a while, so that the test can fail.
+  // Stops after a while, so that the test fails instead of hanging.
   static gboolean OnWork(gpointer aData)
   {
     auto* self = static_cast<busy_daemon*>(aData);
@@ -38,11 +38,12 @@
 
 } // namespace
 
-TEST_CASE("a planned stop ends in its time although the loop always has work")
+TEST_CASE("a drain ends at its deadline even if the loop always has work")
 {
-  // Guards against small entries that are killed at the end of the grace time.
+  // Guards against a main loop under constant load that never checks the drain
+  // deadline: small entries would be killed at the end of the grace period.
   constexpr uint32_t kDrainMs = 200;
-  // Its sources stay in the main context, which other tests run again.
+  // Static because its source stays in the main context, which later tests run.
   static busy_daemon daemon;
   g_timeout_add(
     50,
--- a/shell/testing/log_sink_test.cc
+++ b/shell/testing/log_sink_test.cc
@@ -1,3 +1,5 @@
+// Tests of the JSON form of log lines and of the limit of lines per second.
+
 #include "shell/log_sink.h"
 
 #include <cstdio>
@@ -10,8 +12,7 @@
 namespace cactusmast {
 namespace {
 
-// Counts the lines that contain aText and were written to standard error
-// while aWrite ran.
+// Returns how often aText occurs in what aWrite writes to standard error.
 size_t
 LinesWith(const std::string& aText, const std::function<void()>& aWrite)
 {
@@ -40,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("a line is one JSON object, whatever its fields hold")
+TEST_CASE("a log line is one JSON object whatever bytes its fields contain")
 {
   const std::string values[] = {
     "plain",       "a \"quoted\" one", "back\\slash",       "two\nlines",
@@ -61,11 +62,11 @@
   }
 }
 
-TEST_CASE("under load the endings of jobs are still logged")
+TEST_CASE("progress events of jobs do not crowd out the endings under load")
 {
-  // An entry takes 250 jobs a second, with several lines for each. If the
-  // first lines of the second used up the budget, operators would not find how
-  // a job ended that a user complains of.
+  // An entry gets 250 jobs per second and logs several lines for each. If the
+  // progress events at the start of a second exhausted the limit, the endings
+  // would be dropped, and operators could not find out how a job ended.
   log_sink log("edge-1", severity::Info);
   size_t endings = LinesWith("job_decided", [&] {
     for (int i = 0; i < 250; i++) {
--- a/shell/testing/metrics_test.cc
+++ b/shell/testing/metrics_test.cc
@@ -1,4 +1,4 @@
-// Metrics pages, written and read back.
+// Tests of rendering and parsing metrics pages.
 
 #include <doctest/doctest.h>
 
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("a metrics page names evacuated data centres and since when")
+TEST_CASE("a metrics page lists evacuated data centres with their duration")
 {
   evacuation_tracker known;
   known.Update({ { 5, { "a", "b-2" } }, seconds(100) });
@@ -23,7 +23,7 @@
   CHECK(ReadGauges(text, kEvacuationsAgeMetric).at("") == 3.5);
 }
 
-TEST_CASE("lines of a metrics page that cannot be read are skipped")
+TEST_CASE("malformed lines of a metrics page do not hide the valid ones")
 {
   std::string text =
     "# HELP m text\nm{x=\"1\"} 4\nm{x=\"2\"} ?\nm\nmm 3\n\nm 5";
