--- a/shell/http_server.h
+++ b/shell/http_server.h
@@ -79,6 +79,7 @@
   bool mPaused = false;
 };
 
+// Serves requests from the default main context.
 class http_server
 {
 public:
@@ -89,7 +90,7 @@
   // that only shuts down its sending side counts as disconnected.
   using disconnect_handler = std::function<void(uint64_t)>;
 
-  // Listens on aListen (HOST:PORT by number). Requests whose body is larger
+  // Listens on aListen (HOST:PORT, both numeric). Requests whose body is larger
   // than aMaxBody bytes are refused. Errors: Unavailable.
   static result<std::unique_ptr<http_server>> Create(const std::string& aListen,
                                                      size_t aMaxBody,
--- a/shell/peer_transport.h
+++ b/shell/peer_transport.h
@@ -91,6 +91,7 @@
   void Sweep();
 
   const transport_counters& Counters() const { return mCounters; }
+  // Links in any state, including closed ones that Sweep has not freed yet.
   size_t Links() const { return mLinks.size(); }
   // Whether output of any authenticated peer is unsent.
   bool OutputPending() const;
@@ -123,7 +124,7 @@
     std::string mNonce;      // ours
     std::string mPeerNonce;  // empty until the peer's first hello
     peer_identity mIdentity; // valid once Ready
-    gint64 mSince = 0;       // monotonic time of its creation, in us
+    gint64 mSince = 0;       // monotonic time in us, of its creation
     std::string mLabel;      // the peer's name, for logs; empty until Ready
   };
 
