--- a/shell/http_server.cc
+++ b/shell/http_server.cc
@@ -13,18 +13,18 @@
 
 // The size limit of a request body. A body that exceeds it is refused while it
 // arrives instead of being buffered.
-struct body_watch
+struct body_limit
 {
-  size_t mMax;      // bytes
-  size_t mSeen = 0; // bytes received so far
+  size_t mMax;          // bytes
+  size_t mReceived = 0; // bytes received so far
 };
 
 void
 OnBodyChunk(SoupServerMessage* aMessage, GBytes* aChunk, gpointer aData)
 {
-  auto* watch = static_cast<body_watch*>(aData);
-  watch->mSeen += g_bytes_get_size(aChunk);
-  if (watch->mSeen > watch->mMax) {
+  auto* limit = static_cast<body_limit*>(aData);
+  limit->mReceived += g_bytes_get_size(aChunk);
+  if (limit->mReceived > limit->mMax) {
     soup_server_message_set_status(
       aMessage, SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE, nullptr);
     GIOStream* stream = soup_server_message_steal_connection(aMessage);
@@ -38,14 +38,14 @@
 // libsoup's own listener has a backlog of 10. The kernel drops connections
 // beyond the backlog, and a client that opens many at once sees some of them
 // reset a second later without knowing whether their requests were run.
-constexpr int kBacklog = 1024;
+constexpr int kListenBacklog = 1024;
 
 // While a request waits for its answer, libsoup does not read from the
 // connection and does not detect that the client has closed it. The client's
 // tasks would keep running, even after it resubmits its job to another entry,
 // which it does 1300 ms later. Checking each socket at this interval leaves one
 // second to stop them.
-constexpr guint kHangUpIntervalMs = 200;
+constexpr guint kDisconnectCheckIntervalMs = 200;
 
 gobject_ptr<GSocket>
 OpenListener(const std::string& aListen, GError** aError)
@@ -62,17 +62,17 @@
   if (socket == nullptr) {
     return nullptr;
   }
-  g_socket_set_listen_backlog(socket.get(), kBacklog);
+  g_socket_set_listen_backlog(socket.get(), kListenBacklog);
   g_socket_set_blocking(socket.get(), FALSE);
-  bool up = g_socket_bind(socket.get(), address.get(), TRUE, aError) &&
-            g_socket_listen(socket.get(), aError);
-  return up ? std::move(socket) : nullptr;
+  bool listening = g_socket_bind(socket.get(), address.get(), TRUE, aError) &&
+                   g_socket_listen(socket.get(), aError);
+  return listening ? std::move(socket) : nullptr;
 }
 
 // Each group costs the main loop one descriptor to poll, and each connection of
 // a group is polled whenever another one of the group is ready.
 constexpr size_t kConnectionsPerGroup = 16;
-constexpr size_t kMostGroups = 16;
+constexpr size_t kMaxGroups = 16;
 // In one turn of the loop, so that a burst of new connections does not delay
 // other work.
 constexpr int kMaxAccepts = 32;
@@ -81,28 +81,28 @@
 constexpr char kSocketKey[] = "cactusmast-socket";
 
 // What can be read from a connection.
-enum class arrival : uint8_t
+enum class peek_result : uint8_t
 {
   Nothing,
   Data,
   End // the client closed the connection, or it broke
 };
 
-arrival
+peek_result
 Peek(GSocket* aSocket)
 {
   char next = 0;
   ssize_t count =
     recv(g_socket_get_fd(aSocket), &next, 1, MSG_PEEK | MSG_DONTWAIT);
   if (count > 0) {
-    return arrival::Data;
+    return peek_result::Data;
   }
   bool open = count < 0 && (errno == EAGAIN || errno == EINTR);
-  return open ? arrival::Nothing : arrival::End;
+  return open ? peek_result::Nothing : peek_result::End;
 }
 
 void
-NameSocket(GSocketAddress* aClient, GSocket* aSocket)
+AttachSocket(GSocketAddress* aClient, GSocket* aSocket)
 {
   g_object_set_data_full(
     G_OBJECT(aClient), kSocketKey, g_object_ref(aSocket), &g_object_unref);
@@ -122,21 +122,21 @@
 // over the groups, libsoup's listener is attached to a context that is never
 // run.
 bool
-ListenIdly(SoupServer* aServer, GSocket* aListener)
+ListenWithoutAccepting(SoupServer* aServer, GSocket* aListener)
 {
   GMainContext* unused = g_main_context_new();
   g_main_context_push_thread_default(unused);
-  bool listens = soup_server_listen_socket(
+  bool listening = soup_server_listen_socket(
     aServer, aListener, SoupServerListenOptions(0), nullptr);
   g_main_context_pop_thread_default(unused);
   g_main_context_unref(unused);
-  return listens;
+  return listening;
 }
 
 void
-FreeWatch(gpointer aData, GClosure* /*aClosure*/)
+FreeBodyLimit(gpointer aData, GClosure* /*aClosure*/)
 {
-  delete static_cast<body_watch*>(aData);
+  delete static_cast<body_limit*>(aData);
 }
 
 } // namespace
@@ -173,7 +173,7 @@
   if (socket == nullptr || g_socket_is_closed(socket)) {
     return true;
   }
-  return Peek(socket) == arrival::End;
+  return Peek(socket) == peek_result::End;
 }
 
 uint32_t
@@ -186,26 +186,26 @@
     return aDefault;
   }
   guint64 value = 0;
-  bool good =
+  bool valid =
     g_ascii_string_to_unsigned(text.c_str(), 10, 0, aMax, &value, nullptr);
-  return good ? uint32_t(value) : aMax;
+  return valid ? uint32_t(value) : aMax;
 }
 
 http_server::http_server(size_t aMaxBody,
                          handler aHandler,
-                         disconnect_handler aGone)
+                         disconnect_handler aOnDisconnect)
   : mMaxBody(aMaxBody)
   , mHandler(std::move(aHandler))
-  , mOnDisconnect(std::move(aGone))
+  , mOnDisconnect(std::move(aOnDisconnect))
 {
 }
 
 http_server::~http_server()
 {
-  if (mHangUpTimer != 0) {
-    g_source_remove(mHangUpTimer);
+  if (mDisconnectTimer != 0) {
+    g_source_remove(mDisconnectTimer);
   }
-  for (auto& [id, exchange] : mOpen) {
+  for (auto& [id, exchange] : mExchanges) {
     g_signal_handler_disconnect(exchange->mMessage.get(),
                                 exchange->mFinishedHandler);
   }
@@ -214,7 +214,7 @@
     g_source_unref(mAcceptSource);
   }
   for (const auto& group : mGroups) {
-    group->mContext->Enter(
+    group->mContext->Invoke(
       [&] { soup_server_disconnect(group->mServer.get()); });
   }
 }
@@ -223,27 +223,27 @@
 http_server::Create(const std::string& aListen,
                     size_t aMaxBody,
                     handler aHandler,
-                    disconnect_handler aGone)
+                    disconnect_handler aOnDisconnect)
 {
-  std::unique_ptr<http_server> made(
-    new http_server(aMaxBody, std::move(aHandler), std::move(aGone)));
+  std::unique_ptr<http_server> server(
+    new http_server(aMaxBody, std::move(aHandler), std::move(aOnDisconnect)));
   GError* error = nullptr;
-  made->mListener = OpenListener(aListen, &error);
-  gerror_ptr held(error);
-  if (made->mListener == nullptr) {
+  server->mListener = OpenListener(aListen, &error);
+  gerror_ptr errorOwner(error);
+  if (server->mListener == nullptr) {
     return failure(error_code::Unavailable,
                    "listen",
                    aListen,
                    error == nullptr ? "bad address" : error->message);
   }
-  made->mAcceptSource =
-    g_socket_create_source(made->mListener.get(), G_IO_IN, nullptr);
-  g_source_set_callback(made->mAcceptSource,
+  server->mAcceptSource =
+    g_socket_create_source(server->mListener.get(), G_IO_IN, nullptr);
+  g_source_set_callback(server->mAcceptSource,
                         G_SOURCE_FUNC(&http_server::OnAcceptReady),
-                        made.get(),
+                        server.get(),
                         nullptr);
-  g_source_attach(made->mAcceptSource, nullptr);
-  return made;
+  g_source_attach(server->mAcceptSource, nullptr);
+  return server;
 }
 
 gboolean
@@ -274,12 +274,12 @@
     return; // the client disconnected, or no descriptor is left for a group
   }
   g_socket_set_option(aSocket.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
-  NameSocket(client.get(), aSocket.get());
+  AttachSocket(client.get(), aSocket.get());
   gobject_ptr<GSocketConnection> connection(
     g_socket_connection_factory_create_connection(aSocket.get()));
-  Remember(group, aSocket.get());
-  group->mContext->Forget(g_socket_get_fd(aSocket.get()));
-  group->mContext->Enter([&] {
+  AddSocket(group, aSocket.get());
+  group->mContext->RemoveDescriptor(g_socket_get_fd(aSocket.get()));
+  group->mContext->Invoke([&] {
     soup_server_accept_iostream(group->mServer.get(),
                                 G_IO_STREAM(connection.get()),
                                 local.get(),
@@ -289,22 +289,22 @@
 }
 
 void
-http_server::Remember(const std::shared_ptr<connection_group>& aGroup,
-                      GSocket* aSocket)
+http_server::AddSocket(const std::shared_ptr<connection_group>& aGroup,
+                       GSocket* aSocket)
 {
-  aGroup->mSockets.insert(aSocket);
+  aGroup->mOpenSockets.insert(aSocket);
   g_object_weak_ref(G_OBJECT(aSocket),
-                    &ForgetSocket,
+                    &OnSocketFinalized,
                     new std::weak_ptr<connection_group>(aGroup));
 }
 
 void
-http_server::ForgetSocket(gpointer aData, GObject* aGone)
+http_server::OnSocketFinalized(gpointer aData, GObject* aSocket)
 {
   auto* group = static_cast<std::weak_ptr<connection_group>*>(aData);
-  if (auto still = group->lock()) {
-    still->mSockets.erase(reinterpret_cast<GSocket*>(aGone));
-    still->mReading.erase(reinterpret_cast<GSocket*>(aGone));
+  if (auto liveGroup = group->lock()) {
+    liveGroup->mOpenSockets.erase(reinterpret_cast<GSocket*>(aSocket));
+    liveGroup->mReadingRequest.erase(reinterpret_cast<GSocket*>(aSocket));
   }
   delete group;
 }
@@ -313,16 +313,17 @@
 http_server::CloseIdle()
 {
   std::set<GSocket*> busy;
-  for (const auto& [id, exchange] : mOpen) {
+  for (const auto& [id, exchange] : mExchanges) {
     busy.insert(SocketOf(exchange->mMessage.get()));
   }
   for (const auto& group : mGroups) {
-    for (GSocket* one : group->mSockets) {
-      bool idle = busy.count(one) == 0 && group->mReading.count(one) == 0 &&
-                  !g_socket_is_closed(one) && Peek(one) == arrival::Nothing;
+    for (GSocket* socket : group->mOpenSockets) {
+      bool idle =
+        busy.count(socket) == 0 && group->mReadingRequest.count(socket) == 0 &&
+        !g_socket_is_closed(socket) && Peek(socket) == peek_result::Nothing;
       if (idle) {
         // libsoup detects the shutdown and frees the connection.
-        g_socket_shutdown(one, TRUE, TRUE, nullptr);
+        g_socket_shutdown(socket, TRUE, TRUE, nullptr);
       }
     }
   }
@@ -331,40 +332,44 @@
 std::shared_ptr<http_server::connection_group>
 http_server::ChooseGroup()
 {
-  std::shared_ptr<connection_group> least;
+  std::shared_ptr<connection_group> smallest;
   for (const auto& group : mGroups) {
-    if (least == nullptr || group->mSockets.size() < least->mSockets.size()) {
-      least = group;
+    if (smallest == nullptr ||
+        group->mOpenSockets.size() < smallest->mOpenSockets.size()) {
+      smallest = group;
     }
   }
-  bool roomy =
-    least != nullptr && least->mSockets.size() < kConnectionsPerGroup;
-  if (roomy || mGroups.size() == kMostGroups) {
-    return least;
+  bool hasSpace =
+    smallest != nullptr && smallest->mOpenSockets.size() < kConnectionsPerGroup;
+  if (hasSpace || mGroups.size() == kMaxGroups) {
+    return smallest;
   }
-  std::shared_ptr<connection_group> made = MakeGroup();
-  return made == nullptr ? least : made;
+  std::shared_ptr<connection_group> added = AddGroup();
+  return added == nullptr ? smallest : added;
 }
 
 std::shared_ptr<http_server::connection_group>
-http_server::MakeGroup()
+http_server::AddGroup()
 {
   auto context = nested_context::Create();
   if (!context.Ok()) {
     return nullptr;
   }
-  auto made = std::make_shared<connection_group>();
-  made->mContext = std::move(context.Value());
-  made->mServer.reset(soup_server_new("server-header", "cactusmast", nullptr));
-  if (!ListenIdly(made->mServer.get(), mListener.get())) {
+  auto group = std::make_shared<connection_group>();
+  group->mContext = std::move(context.Value());
+  group->mServer.reset(soup_server_new("server-header", "cactusmast", nullptr));
+  if (!ListenWithoutAccepting(group->mServer.get(), mListener.get())) {
     return nullptr;
   }
-  soup_server_add_early_handler(
-    made->mServer.get(), nullptr, &http_server::OnEarly, this, nullptr);
+  soup_server_add_early_handler(group->mServer.get(),
+                                nullptr,
+                                &http_server::OnRequestHeaders,
+                                this,
+                                nullptr);
   soup_server_add_handler(
-    made->mServer.get(), nullptr, &http_server::OnRequest, this, nullptr);
-  mGroups.push_back(made);
-  return made;
+    group->mServer.get(), nullptr, &http_server::OnRequest, this, nullptr);
+  mGroups.push_back(group);
+  return group;
 }
 
 http_server::connection_group*
@@ -379,16 +384,16 @@
 }
 
 void
-http_server::OnEarly(SoupServer* aServer,
-                     SoupServerMessage* aMessage,
-                     const char* /*aPath*/,
-                     GHashTable* /*aQuery*/,
-                     gpointer aData)
+http_server::OnRequestHeaders(SoupServer* aServer,
+                              SoupServerMessage* aMessage,
+                              const char* /*aPath*/,
+                              GHashTable* /*aQuery*/,
+                              gpointer aData)
 {
   auto* self = static_cast<http_server*>(aData);
-  goffset announced = soup_message_headers_get_content_length(
+  goffset contentLength = soup_message_headers_get_content_length(
     soup_server_message_get_request_headers(aMessage));
-  if (announced > goffset(self->mMaxBody)) {
+  if (contentLength > goffset(self->mMaxBody)) {
     failure error(error_code::TooLarge,
                   "read request",
                   "caller",
@@ -402,12 +407,12 @@
       "close");
     return;
   }
-  self->GroupOf(aServer)->mReading.insert(SocketOf(aMessage));
+  self->GroupOf(aServer)->mReadingRequest.insert(SocketOf(aMessage));
   g_signal_connect_data(aMessage,
                         "got-chunk",
                         G_CALLBACK(&OnBodyChunk),
-                        new body_watch{ self->mMaxBody },
-                        &FreeWatch,
+                        new body_limit{ self->mMaxBody },
+                        &FreeBodyLimit,
                         GConnectFlags(0));
 }
 
@@ -419,13 +424,13 @@
                        gpointer aData)
 {
   auto* self = static_cast<http_server*>(aData);
-  self->mServed++;
-  auto made = std::make_unique<http_exchange>();
-  http_exchange& exchange = *made;
+  self->mRequestCount++;
+  auto owned = std::make_unique<http_exchange>();
+  http_exchange& exchange = *owned;
   exchange.mId = self->mNextId++;
   connection_group* group = self->GroupOf(aServer);
   exchange.mContext = group->mContext.get();
-  group->mReading.erase(SocketOf(aMessage));
+  group->mReadingRequest.erase(SocketOf(aMessage));
   exchange.mMethod = soup_server_message_get_method(aMessage);
   exchange.mPath = aPath;
   exchange.mMessage.reset(SOUP_SERVER_MESSAGE(g_object_ref(aMessage)));
@@ -438,11 +443,11 @@
   }
   g_bytes_unref(bytes);
   if (aQuery != nullptr) {
-    GHashTableIter iter;
+    GHashTableIter iterator;
     gpointer key = nullptr;
     gpointer value = nullptr;
-    g_hash_table_iter_init(&iter, aQuery);
-    while (g_hash_table_iter_next(&iter, &key, &value)) {
+    g_hash_table_iter_init(&iterator, aQuery);
+    while (g_hash_table_iter_next(&iterator, &key, &value)) {
       exchange.mQuery[static_cast<const char*>(key)] =
         static_cast<const char*>(value);
     }
@@ -450,48 +455,48 @@
   exchange.mFinishedHandler = g_signal_connect(
     aMessage, "finished", G_CALLBACK(&http_server::OnFinished), self);
   uint64_t id = exchange.mId;
-  self->mByMessage[aMessage] = id;
-  self->mOpen[id] = std::move(made);
-  OutsideNested([&] { self->mHandler(exchange); });
-  auto still = self->mOpen.find(id);
-  if (still != self->mOpen.end()) {
-    still->second->mPaused = true;
+  self->mExchangeIds[aMessage] = id;
+  self->mExchanges[id] = std::move(owned);
+  InvokeInMainContext([&] { self->mHandler(exchange); });
+  auto unanswered = self->mExchanges.find(id);
+  if (unanswered != self->mExchanges.end()) {
+    unanswered->second->mPaused = true;
     soup_server_message_pause(aMessage);
-    self->WatchHangUps();
+    self->StartDisconnectTimer();
   }
 }
 
 void
-http_server::WatchHangUps()
+http_server::StartDisconnectTimer()
 {
-  if (mHangUpTimer == 0) {
-    mHangUpTimer =
-      g_timeout_add(kHangUpIntervalMs, &http_server::OnHangUpTimer, this);
+  if (mDisconnectTimer == 0) {
+    mDisconnectTimer = g_timeout_add(
+      kDisconnectCheckIntervalMs, &http_server::OnDisconnectTimer, this);
   }
 }
 
 gboolean
-http_server::OnHangUpTimer(gpointer aData)
+http_server::OnDisconnectTimer(gpointer aData)
 {
   auto* self = static_cast<http_server*>(aData);
-  self->DropHungUp();
-  if (!self->mOpen.empty()) {
+  self->CheckDisconnects();
+  if (!self->mExchanges.empty()) {
     return G_SOURCE_CONTINUE;
   }
-  self->mHangUpTimer = 0;
+  self->mDisconnectTimer = 0;
   return G_SOURCE_REMOVE;
 }
 
 void
-http_server::DropHungUp()
+http_server::CheckDisconnects()
 {
-  std::vector<uint64_t> left;
-  for (const auto& [id, exchange] : mOpen) {
+  std::vector<uint64_t> disconnected;
+  for (const auto& [id, exchange] : mExchanges) {
     if (exchange->ClientDisconnected()) {
-      left.push_back(id);
+      disconnected.push_back(id);
     }
   }
-  for (uint64_t id : left) {
+  for (uint64_t id : disconnected) {
     // Nobody reads this answer. It makes libsoup close its end.
     http_answer answer;
     answer.mStatus = SOUP_STATUS_SERVICE_UNAVAILABLE;
@@ -505,41 +510,41 @@
 http_server::OnFinished(SoupServerMessage* aMessage, gpointer aData)
 {
   auto* self = static_cast<http_server*>(aData);
-  auto found = self->mByMessage.find(aMessage);
-  if (found == self->mByMessage.end()) {
+  auto found = self->mExchangeIds.find(aMessage);
+  if (found == self->mExchangeIds.end()) {
     return;
   }
   uint64_t id = found->second;
-  self->mByMessage.erase(found);
-  auto open = self->mOpen.find(id);
-  if (open != self->mOpen.end()) {
+  self->mExchangeIds.erase(found);
+  auto open = self->mExchanges.find(id);
+  if (open != self->mExchanges.end()) {
     std::unique_ptr<http_exchange> ended = std::move(open->second);
-    self->mOpen.erase(open);
-    OutsideNested([&] { self->mOnDisconnect(id); });
+    self->mExchanges.erase(open);
+    InvokeInMainContext([&] { self->mOnDisconnect(id); });
   }
 }
 
 http_exchange*
 http_server::Find(uint64_t aExchange)
 {
-  auto found = mOpen.find(aExchange);
-  return found == mOpen.end() ? nullptr : found->second.get();
+  auto found = mExchanges.find(aExchange);
+  return found == mExchanges.end() ? nullptr : found->second.get();
 }
 
 void
 http_server::Answer(uint64_t aExchange, const http_answer& aAnswer)
 {
-  auto found = mOpen.find(aExchange);
-  if (found == mOpen.end()) {
+  auto found = mExchanges.find(aExchange);
+  if (found == mExchanges.end()) {
     return;
   }
   std::unique_ptr<http_exchange> exchange = std::move(found->second);
-  mOpen.erase(found);
-  SoupServerMessage* reply = exchange->mMessage.get();
-  mByMessage.erase(reply);
-  g_signal_handler_disconnect(reply, exchange->mFinishedHandler);
-  soup_server_message_set_status(reply, guint(aAnswer.mStatus), nullptr);
-  soup_server_message_set_response(reply,
+  mExchanges.erase(found);
+  SoupServerMessage* message = exchange->mMessage.get();
+  mExchangeIds.erase(message);
+  g_signal_handler_disconnect(message, exchange->mFinishedHandler);
+  soup_server_message_set_status(message, guint(aAnswer.mStatus), nullptr);
+  soup_server_message_set_response(message,
                                    aAnswer.mType.c_str(),
                                    SOUP_MEMORY_COPY,
                                    aAnswer.mBody.data(),
@@ -547,16 +552,16 @@
   if (aAnswer.mRetryAfterMs > 0) {
     int64_t seconds = (aAnswer.mRetryAfterMs + 999) / 1000;
     soup_message_headers_replace(
-      soup_server_message_get_response_headers(reply),
+      soup_server_message_get_response_headers(message),
       "Retry-After",
       std::to_string(seconds).c_str());
   }
   if (aAnswer.mClose) {
     soup_message_headers_replace(
-      soup_server_message_get_response_headers(reply), "Connection", "close");
+      soup_server_message_get_response_headers(message), "Connection", "close");
   }
   if (exchange->mPaused) {
-    soup_server_message_unpause(reply);
+    soup_server_message_unpause(message);
     exchange->mContext->Wake();
   }
 }
--- a/shell/http_server.h
+++ b/shell/http_server.h
@@ -92,10 +92,11 @@
 
   // Listens on aListen (HOST:PORT, both numeric). Requests whose body is larger
   // than aMaxBody bytes are refused. Errors: Unavailable.
-  static result<std::unique_ptr<http_server>> Create(const std::string& aListen,
-                                                     size_t aMaxBody,
-                                                     handler aHandler,
-                                                     disconnect_handler aGone);
+  static result<std::unique_ptr<http_server>> Create(
+    const std::string& aListen,
+    size_t aMaxBody,
+    handler aHandler,
+    disconnect_handler aOnDisconnect);
   ~http_server();
 
   // Null when the exchange was answered or its client disconnected.
@@ -109,9 +110,9 @@
   void CloseIdle();
 
   // Requests that have not been answered yet.
-  size_t Open() const { return mOpen.size(); }
+  size_t Open() const { return mExchanges.size(); }
   // Requests received since the start.
-  uint64_t Served() const { return mServed; }
+  uint64_t Served() const { return mRequestCount; }
 
 private:
   // Connections whose sources share a nested context.
@@ -119,24 +120,26 @@
   {
     std::unique_ptr<nested_context> mContext;
     gobject_ptr<SoupServer> mServer;
-    std::set<GSocket*> mSockets; // of its open connections
-    std::set<GSocket*> mReading; // those whose request is partly read
+    std::set<GSocket*> mOpenSockets;    // of its open connections
+    std::set<GSocket*> mReadingRequest; // those whose request is partly read
   };
 
-  http_server(size_t aMaxBody, handler aHandler, disconnect_handler aGone);
+  http_server(size_t aMaxBody,
+              handler aHandler,
+              disconnect_handler aOnDisconnect);
   static gboolean OnAcceptReady(GSocket* aListener,
                                 GIOCondition aCondition,
                                 gpointer aData);
   void Accept(gobject_ptr<GSocket> aSocket);
   // Adds the socket to its group until it is finalized.
-  static void Remember(const std::shared_ptr<connection_group>& aGroup,
-                       GSocket* aSocket);
-  static void ForgetSocket(gpointer aData, GObject* aGone);
+  static void AddSocket(const std::shared_ptr<connection_group>& aGroup,
+                        GSocket* aSocket);
+  static void OnSocketFinalized(gpointer aData, GObject* aSocket);
   // The group for a new connection: the one with the fewest connections, or a
   // new one. Null when there is none and none can be created.
   std::shared_ptr<connection_group> ChooseGroup();
   // Null when no context can be created.
-  std::shared_ptr<connection_group> MakeGroup();
+  std::shared_ptr<connection_group> AddGroup();
   // The group of a libsoup server; null if there is none.
   connection_group* GroupOf(SoupServer* aServer) const;
   static void OnRequest(SoupServer* aServer,
@@ -145,17 +148,17 @@
                         GHashTable* aQuery,
                         gpointer aData);
   // Called when the headers of a request have been read.
-  static void OnEarly(SoupServer* aServer,
-                      SoupServerMessage* aMessage,
-                      const char* aPath,
-                      GHashTable* aQuery,
-                      gpointer aData);
+  static void OnRequestHeaders(SoupServer* aServer,
+                               SoupServerMessage* aMessage,
+                               const char* aPath,
+                               GHashTable* aQuery,
+                               gpointer aData);
   // Called when libsoup has given up an exchange before its answer.
   static void OnFinished(SoupServerMessage* aMessage, gpointer aData);
-  static gboolean OnHangUpTimer(gpointer aData);
-  void WatchHangUps();
+  static gboolean OnDisconnectTimer(gpointer aData);
+  void StartDisconnectTimer();
   // Ends the exchanges whose clients have disconnected.
-  void DropHungUp();
+  void CheckDisconnects();
 
   gobject_ptr<GSocket> mListener;
   GSource* mAcceptSource = nullptr;
@@ -163,11 +166,11 @@
   size_t mMaxBody;
   handler mHandler;
   disconnect_handler mOnDisconnect;
-  std::map<uint64_t, std::unique_ptr<http_exchange>> mOpen; // by id
-  std::map<SoupServerMessage*, uint64_t> mByMessage;
+  std::map<uint64_t, std::unique_ptr<http_exchange>> mExchanges; // by id
+  std::map<SoupServerMessage*, uint64_t> mExchangeIds;
   uint64_t mNextId = 1;
-  uint64_t mServed = 0;
-  guint mHangUpTimer = 0; // source id; 0 while it is not running
+  uint64_t mRequestCount = 0;
+  guint mDisconnectTimer = 0; // source id; 0 while it is not running
 };
 
 } // namespace cactusmast
--- a/shell/nested_context.cc
+++ b/shell/nested_context.cc
@@ -72,20 +72,20 @@
 }
 
 void
-nested_context::Enter(const std::function<void()>& aDo)
+nested_context::Invoke(const std::function<void()>& aFunction)
 {
   g_main_context_push_thread_default(mContext);
-  aDo();
+  aFunction();
   g_main_context_pop_thread_default(mContext);
   Wake();
 }
 
 void
-OutsideNested(const std::function<void()>& aDo)
+InvokeInMainContext(const std::function<void()>& aFunction)
 {
   GMainContext* main = g_main_context_default();
   g_main_context_push_thread_default(main);
-  aDo();
+  aFunction();
   g_main_context_pop_thread_default(main);
 }
 
@@ -96,9 +96,9 @@
 }
 
 void
-nested_context::Forget(int aFd)
+nested_context::RemoveDescriptor(int aFd)
 {
-  if (mWatched.erase(aFd) > 0) {
+  if (mEpollEvents.erase(aFd) > 0) {
     epoll_ctl(mEpoll, EPOLL_CTL_DEL, aFd, nullptr);
   }
 }
@@ -109,7 +109,7 @@
                         gpointer /*aData*/)
 {
   g_source_set_ready_time(aSource, -1);
-  reinterpret_cast<nested_source*>(aSource)->mOwner->Run();
+  reinterpret_cast<nested_source*>(aSource)->mOwner->DispatchReady();
   return G_SOURCE_CONTINUE;
 }
 
@@ -120,9 +120,9 @@
   int timeout = -1;
   for (;;) {
     int size = g_main_context_query(
-      mContext, *aPriority, &timeout, mPolled.data(), int(mPolled.size()));
-    bool complete = size <= int(mPolled.size());
-    mPolled.resize(size_t(size));
+      mContext, *aPriority, &timeout, mPollFds.data(), int(mPollFds.size()));
+    bool complete = size <= int(mPollFds.size());
+    mPollFds.resize(size_t(size));
     if (complete) {
       return timeout;
     }
@@ -130,43 +130,43 @@
 }
 
 bool
-nested_context::Collect()
+nested_context::PollReady()
 {
   constexpr int kMaxReady = 64;
   epoll_event ready[kMaxReady];
   int count = epoll_wait(mEpoll, ready, kMaxReady, 0);
-  bool any = false;
-  for (GPollFD& polled : mPolled) {
-    polled.revents = 0;
+  bool anyReady = false;
+  for (GPollFD& pollFd : mPollFds) {
+    pollFd.revents = 0;
     for (int i = 0; i < count; i++) {
-      if (ready[i].data.fd == polled.fd) {
-        constexpr int kAlways = G_IO_ERR | G_IO_HUP;
-        polled.revents =
-          gushort(PollEvents(ready[i].events) & (polled.events | kAlways));
-        any = any || polled.revents != 0;
+      if (ready[i].data.fd == pollFd.fd) {
+        constexpr int kAlwaysReported = G_IO_ERR | G_IO_HUP;
+        pollFd.revents = gushort(PollEvents(ready[i].events) &
+                                 (pollFd.events | kAlwaysReported));
+        anyReady = anyReady || pollFd.revents != 0;
       }
     }
   }
-  return any;
+  return anyReady;
 }
 
 void
-nested_context::Watch()
+nested_context::UpdateEpollSet()
 {
   std::unordered_map<int, uint32_t> wanted;
-  for (const GPollFD& polled : mPolled) {
-    wanted[polled.fd] |= EpollEvents(polled.events);
+  for (const GPollFD& pollFd : mPollFds) {
+    wanted[pollFd.fd] |= EpollEvents(pollFd.events);
   }
-  for (const auto& [fd, events] : mWatched) {
+  for (const auto& [fd, events] : mEpollEvents) {
     if (wanted.count(fd) == 0) {
       // Fails for a closed descriptor, which the kernel has already removed.
       epoll_ctl(mEpoll, EPOLL_CTL_DEL, fd, nullptr);
     }
   }
   for (const auto& [fd, events] : wanted) {
-    auto before = mWatched.find(fd);
-    bool known = before != mWatched.end();
-    if (known && before->second == events) {
+    auto previous = mEpollEvents.find(fd);
+    bool known = previous != mEpollEvents.end();
+    if (known && previous->second == events) {
       continue;
     }
     epoll_event change{};
@@ -174,11 +174,11 @@
     change.data.fd = fd;
     epoll_ctl(mEpoll, known ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, fd, &change);
   }
-  mWatched = std::move(wanted);
+  mEpollEvents = std::move(wanted);
 }
 
 void
-nested_context::Run()
+nested_context::DispatchReady()
 {
   if (!g_main_context_acquire(mContext)) {
     return;
@@ -187,9 +187,9 @@
   for (;;) {
     int priority = 0;
     int timeoutMs = Prepare(&priority);
-    bool ready = Collect();
+    bool ready = PollReady();
     if (!ready && timeoutMs != 0) {
-      Watch();
+      UpdateEpollSet();
       if (timeoutMs > 0) {
         constexpr gint64 kUsInMs = 1000;
         g_source_set_ready_time(mSource,
@@ -198,7 +198,7 @@
       break;
     }
     g_main_context_check(
-      mContext, priority, mPolled.data(), int(mPolled.size()));
+      mContext, priority, mPollFds.data(), int(mPollFds.size()));
     g_main_context_dispatch(mContext);
   }
   g_main_context_pop_thread_default(mContext);
--- a/shell/nested_context.h
+++ b/shell/nested_context.h
@@ -9,8 +9,8 @@
 //
 //   auto nested = std::move(nested_context::Create().Value());
 //   // Attach sources to the thread's default context:
-//   nested->Enter([&] { ... });
-//   // After sources were attached or changed outside Enter:
+//   nested->Invoke([&] { ... });
+//   // After sources were attached or changed outside Invoke:
 //   nested->Wake();
 //
 // The sources are dispatched from the main loop, on the same thread, with the
@@ -36,14 +36,14 @@
   static result<std::unique_ptr<nested_context>> Create();
   ~nested_context();
 
-  // Calls aDo with this context as the thread's default, then Wake.
-  void Enter(const std::function<void()>& aDo);
+  // Calls aFunction with this context as the thread's default, then Wake.
+  void Invoke(const std::function<void()>& aFunction);
   // Makes the main loop check all sources of this context in its next turn.
   void Wake();
   // Must be called before a source polls a new descriptor whose number an
   // earlier descriptor of this context may have had. Closing the earlier one
   // removed it from the epoll set without this object being told.
-  void Forget(int aFd);
+  void RemoveDescriptor(int aFd);
 
 private:
   nested_context(int aEpoll);
@@ -51,26 +51,27 @@
                           GSourceFunc aCallback,
                           gpointer aData);
   // Dispatches sources until none is ready.
-  void Run();
-  // Sets mPolled to the descriptors that the sources wait for. Returns the time
-  // in ms until a source is due without input; negative means never.
+  void DispatchReady();
+  // Sets mPollFds to the descriptors that the sources wait for. Returns the
+  // time in ms until a source is due without input; negative means never.
   int Prepare(int* aPriority);
-  // Stores the pending events in mPolled; false when there are none.
-  bool Collect();
-  // Updates the epoll set to match mPolled.
-  void Watch();
+  // Stores the pending events in mPollFds; false when there are none.
+  bool PollReady();
+  // Updates the epoll set to match mPollFds.
+  void UpdateEpollSet();
 
   int mEpoll;
   GMainContext* mContext;
   GSource* mSource; // in the main context; polls mEpoll
-  std::vector<GPollFD> mPolled;
-  std::unordered_map<int, uint32_t> mWatched; // epoll events by descriptor
+  std::vector<GPollFD> mPollFds;
+  std::unordered_map<int, uint32_t> mEpollEvents; // epoll events by descriptor
 };
 
-// Calls aDo with the main context as the thread's default. Used for callbacks
-// that run while a nested context is dispatched and may attach sources.
+// Calls aFunction with the main context as the thread's default. Used for
+// callbacks that run while a nested context is dispatched and may attach
+// sources.
 void
-OutsideNested(const std::function<void()>& aDo);
+InvokeInMainContext(const std::function<void()>& aFunction);
 
 } // namespace cactusmast
 
--- a/shell/testing/http_server_test.cc
+++ b/shell/testing/http_server_test.cc
@@ -22,11 +22,12 @@
 Connect(uint16_t aPort)
 {
   int fd = socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in to{};
-  to.sin_family = AF_INET;
-  to.sin_port = htons(aPort);
-  to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  REQUIRE(connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(aPort);
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  REQUIRE(connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) ==
+          0);
   return fd;
 }
 
@@ -48,20 +49,20 @@
 // Runs the main loop until aCount answers have arrived on the connection, for
 // at most 5 seconds.
 void
-AwaitAnswers(int aFd, size_t aCount)
+ExpectAnswers(int aFd, size_t aCount)
 {
   constexpr std::string_view kStatusLine = "HTTP/1.1 200";
-  std::string got;
+  std::string received;
   gint64 end = g_get_monotonic_time() + 5 * G_USEC_PER_SEC;
   size_t answers = 0;
   while (answers < aCount && g_get_monotonic_time() < end) {
     g_main_context_iteration(nullptr, FALSE);
     char chunk[4096];
     ssize_t size = recv(aFd, chunk, sizeof chunk, MSG_DONTWAIT);
-    got.append(chunk, size > 0 ? size_t(size) : 0);
+    received.append(chunk, size > 0 ? size_t(size) : 0);
     answers = 0;
-    for (size_t at = got.find(kStatusLine); at != std::string::npos;
-         at = got.find(kStatusLine, at + 1)) {
+    for (size_t at = received.find(kStatusLine); at != std::string::npos;
+         at = received.find(kStatusLine, at + 1)) {
       answers++;
     }
   }
@@ -90,36 +91,37 @@
   // the connections and send the requests to another entry. If the resumed
   // process took the requests for live ones, a job would run twice.
   bool handled = false;
-  bool left = false;
-  loopback_server server = ServeOnLoopback([&](http_exchange& aOne) {
-    left = aOne.ClientDisconnected();
+  bool disconnected = false;
+  loopback_server server = ServeOnLoopback([&](http_exchange& aExchange) {
+    disconnected = aExchange.ClientDisconnected();
     handled = true;
   });
 
   int waiting = SendRequest(server.mPort);
   TurnUntil(handled);
-  CHECK_FALSE(left);
+  CHECK_FALSE(disconnected);
   close(waiting);
 
   handled = false;
   close(SendRequest(server.mPort));
   TurnUntil(handled);
-  CHECK(left);
+  CHECK(disconnected);
 }
 
 TEST_CASE("a connection stays usable for further requests after an answer")
 {
   loopback_server server;
-  server = ServeOnLoopback(
-    [&](http_exchange& aOne) { server.mServer->Answer(aOne.Id(), {}); });
+  server = ServeOnLoopback([&](http_exchange& aExchange) {
+    server.mServer->Answer(aExchange.Id(), {});
+  });
   int client = Connect(server.mPort);
   for (int i = 0; i < 3; i++) {
     Send(client, kRequest);
-    AwaitAnswers(client, 1);
+    ExpectAnswers(client, 1);
   }
   // Two requests at once: the second is read together with the first.
   Send(client, std::string(kRequest) + kRequest);
-  AwaitAnswers(client, 2);
+  ExpectAnswers(client, 2);
   close(client);
 }
 
@@ -127,18 +129,18 @@
 {
   // Guards against a deferred answer that stays unsent until another connection
   // of the same group is ready.
-  uint64_t held = 0;
+  uint64_t pendingId = 0;
   bool handled = false;
-  loopback_server server = ServeOnLoopback([&](http_exchange& aOne) {
-    held = aOne.Id();
+  loopback_server server = ServeOnLoopback([&](http_exchange& aExchange) {
+    pendingId = aExchange.Id();
     handled = true;
   });
   int client = SendRequest(server.mPort);
   TurnUntil(handled);
-  server.mServer->Answer(held, {});
-  gint64 answered = g_get_monotonic_time();
-  AwaitAnswers(client, 1);
-  CHECK(g_get_monotonic_time() - answered < G_USEC_PER_SEC / 10);
+  server.mServer->Answer(pendingId, {});
+  gint64 answeredAt = g_get_monotonic_time();
+  ExpectAnswers(client, 1);
+  CHECK(g_get_monotonic_time() - answeredAt < G_USEC_PER_SEC / 10);
   close(client);
 }
 
@@ -149,13 +151,14 @@
   // callers would be answered late.
   constexpr int kIdle = 200;
   loopback_server server;
-  server = ServeOnLoopback(
-    [&](http_exchange& aOne) { server.mServer->Answer(aOne.Id(), {}); });
+  server = ServeOnLoopback([&](http_exchange& aExchange) {
+    server.mServer->Answer(aExchange.Id(), {});
+  });
   int before = PolledDescriptors();
   std::vector<int> idle;
   for (int i = 0; i < kIdle; i++) {
     idle.push_back(SendRequest(server.mPort));
-    AwaitAnswers(idle.back(), 1);
+    ExpectAnswers(idle.back(), 1);
   }
   CHECK(PolledDescriptors() - before <= 16);
   // All are still served, also on descriptors that closed ones had used.
@@ -164,12 +167,12 @@
   }
   for (int i = 0; i < kIdle; i += 2) {
     idle[size_t(i)] = SendRequest(server.mPort);
-    AwaitAnswers(idle[size_t(i)], 1);
+    ExpectAnswers(idle[size_t(i)], 1);
   }
-  for (int one : idle) {
-    Send(one, kRequest);
-    AwaitAnswers(one, 1);
-    close(one);
+  for (int fd : idle) {
+    Send(fd, kRequest);
+    ExpectAnswers(fd, 1);
+    close(fd);
   }
 }
 
@@ -179,40 +182,40 @@
   // draining process and is refused, and a connection that is closed in the
   // middle of its request.
   loopback_server server;
-  uint64_t held = 0;
-  server = ServeOnLoopback([&](http_exchange& aOne) {
-    if (aOne.Method() == "POST") {
-      held = aOne.Id();
+  uint64_t pendingId = 0;
+  server = ServeOnLoopback([&](http_exchange& aExchange) {
+    if (aExchange.Method() == "POST") {
+      pendingId = aExchange.Id();
     } else {
-      server.mServer->Answer(aOne.Id(), {});
+      server.mServer->Answer(aExchange.Id(), {});
     }
   });
-  constexpr char kAsk[] = "GET / HTTP/1.1\r\nHost: a.example\r\n\r\n";
+  constexpr char kGetRequest[] = "GET / HTTP/1.1\r\nHost: a.example\r\n\r\n";
   int idle = Connect(server.mPort);
   int sending = Connect(server.mPort);
-  for (int one : { idle, sending }) {
-    Send(one, kAsk);
-    AwaitAnswers(one, 1);
+  for (int fd : { idle, sending }) {
+    Send(fd, kGetRequest);
+    ExpectAnswers(fd, 1);
   }
   // The body is sent later.
-  int half = Connect(server.mPort);
-  Send(half,
+  int partial = Connect(server.mPort);
+  Send(partial,
        "PUT /job HTTP/1.1\r\nHost: a.example\r\nContent-Length: 2\r\n\r\n");
   int waiting = SendRequest(server.mPort);
-  while (held == 0) {
+  while (pendingId == 0) {
     g_main_context_iteration(nullptr, FALSE);
   }
-  Send(sending, kAsk); // not read yet
+  Send(sending, kGetRequest); // not read yet
   server.mServer->CloseIdle();
-  AwaitAnswers(sending, 1);
-  server.mServer->Answer(held, {});
-  AwaitAnswers(waiting, 1);
-  Send(half, "{}");
-  AwaitAnswers(half, 1);
+  ExpectAnswers(sending, 1);
+  server.mServer->Answer(pendingId, {});
+  ExpectAnswers(waiting, 1);
+  Send(partial, "{}");
+  ExpectAnswers(partial, 1);
   char byte = 0;
   CHECK(recv(idle, &byte, 1, 0) == 0);
-  for (int one : { idle, sending, half, waiting }) {
-    close(one);
+  for (int fd : { idle, sending, partial, waiting }) {
+    close(fd);
   }
 }
 
@@ -222,21 +225,21 @@
   // 1300 ms later. If the first entry did not detect this within a second, the
   // tasks of both would run and the job would be carried out twice.
   bool handled = false;
-  bool gone = false;
-  uint64_t held = 0;
+  bool disconnected = false;
+  uint64_t pendingId = 0;
   loopback_server server = ServeOnLoopback(
-    [&](http_exchange& aOne) {
-      held = aOne.Id();
+    [&](http_exchange& aExchange) {
+      pendingId = aExchange.Id();
       handled = true;
     },
-    [&](uint64_t aId) { gone = aId == held; });
+    [&](uint64_t aId) { disconnected = aId == pendingId; });
   int client = SendRequest(server.mPort);
   TurnUntil(handled);
-  CHECK_FALSE(gone);
-  gint64 closed = g_get_monotonic_time();
+  CHECK_FALSE(disconnected);
+  gint64 closedAt = g_get_monotonic_time();
   close(client);
-  TurnUntil(gone);
-  CHECK(g_get_monotonic_time() - closed < G_USEC_PER_SEC);
+  TurnUntil(disconnected);
+  CHECK(g_get_monotonic_time() - closedAt < G_USEC_PER_SEC);
   CHECK(server.mServer->Open() == 0);
 }
 
--- a/shell/testing/loopback.h
+++ b/shell/testing/loopback.h
@@ -23,7 +23,7 @@
 loopback_server
 ServeOnLoopback(
   http_server::handler aHandler,
-  http_server::disconnect_handler aGone = [](uint64_t) {});
+  http_server::disconnect_handler aOnDisconnect = [](uint64_t) {});
 
 // Runs the main loop until aDone is true. The test fails after 5 seconds.
 void
