--- a/shell/http_client.cc
+++ b/shell/http_client.cc
@@ -8,7 +8,7 @@
 // The client closes idle connections before the server does. A request that is
 // sent over a connection which the server has just closed fails, and it is
 // unknown whether it was run.
-constexpr guint kIdleSeconds = 4;
+constexpr guint kIdleTimeoutS = 4;
 
 // A request in flight.
 struct pending_request
@@ -16,22 +16,22 @@
   http_client::callback mCallback;
   gobject_ptr<SoupMessage> mMessage;
   gobject_ptr<GCancellable> mCancellable;
-  guint mTimer = 0;      // source id; 0 without a timeout
-  bool mStarted = false; // whether sending has begun at least once
+  guint mTimer = 0;          // source id; 0 without a timeout
+  bool mSendStarted = false; // whether sending has begun at least once
 };
 
 http_response
 ReadResponse(SoupMessage* aMessage,
              GBytes* aBody,
              const GError* aError,
-             bool aStarted)
+             bool aSendStarted)
 {
   http_response response;
   if (aError != nullptr) {
     // libsoup resends an idempotent request whose connection broke. If the
     // resend is refused, the first send may still have been carried out.
     bool refused =
-      !aStarted &&
+      !aSendStarted &&
       (g_error_matches(aError, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED) ||
        g_error_matches(aError, G_IO_ERROR, G_IO_ERROR_HOST_UNREACHABLE));
     bool cancelled = g_error_matches(aError, G_IO_ERROR, G_IO_ERROR_CANCELLED);
@@ -45,16 +45,16 @@
   gsize size = 0;
   const auto* data = static_cast<const char*>(g_bytes_get_data(aBody, &size));
   response.mBody.assign(data == nullptr ? "" : data, size);
-  const char* run = soup_message_headers_get_one(
+  const char* runHeader = soup_message_headers_get_one(
     soup_message_get_response_headers(aMessage), "X-Run");
-  response.mRunHeader = run == nullptr ? "" : run;
+  response.mRunHeader = runHeader == nullptr ? "" : runHeader;
   return response;
 }
 
 void
-NoteStarted(pending_request* aPending)
+OnStarting(pending_request* aPending)
 {
-  aPending->mStarted = true;
+  aPending->mSendStarted = true;
 }
 
 gboolean
@@ -67,7 +67,7 @@
 }
 
 void
-OnDone(GObject* aSession, GAsyncResult* aResult, gpointer aData)
+OnResponse(GObject* aSession, GAsyncResult* aResult, gpointer aData)
 {
   std::unique_ptr<pending_request> pending(
     static_cast<pending_request*>(aData));
@@ -78,9 +78,9 @@
   GError* error = nullptr;
   GBytes* body =
     soup_session_send_and_read_finish(SOUP_SESSION(aSession), aResult, &error);
-  gerror_ptr held(error);
+  gerror_ptr errorOwner(error);
   http_response response =
-    ReadResponse(pending->mMessage.get(), body, error, pending->mStarted);
+    ReadResponse(pending->mMessage.get(), body, error, pending->mSendStarted);
   if (body != nullptr) {
     g_bytes_unref(body);
   }
@@ -90,40 +90,40 @@
 gobject_ptr<SoupMessage>
 MakeSoupMessage(const http_request& aRequest)
 {
-  gobject_ptr<SoupMessage> made(
+  gobject_ptr<SoupMessage> message(
     soup_message_new(aRequest.mMethod.c_str(), aRequest.mUrl.c_str()));
-  if (made == nullptr) {
-    return made;
+  if (message == nullptr) {
+    return message;
   }
-  SoupMessageHeaders* headers = soup_message_get_request_headers(made.get());
+  SoupMessageHeaders* headers = soup_message_get_request_headers(message.get());
   for (const auto& [name, value] : aRequest.mHeaders) {
     soup_message_headers_replace(headers, name.c_str(), value.c_str());
   }
   if (!aRequest.mBody.empty()) {
     GBytes* body = g_bytes_new(aRequest.mBody.data(), aRequest.mBody.size());
     soup_message_set_request_body_from_bytes(
-      made.get(), "application/json", body);
+      message.get(), "application/json", body);
     g_bytes_unref(body);
   }
   // A redirect would send the request to a server that the caller did not
   // choose.
-  soup_message_add_flags(made.get(), SOUP_MESSAGE_NO_REDIRECT);
+  soup_message_add_flags(message.get(), SOUP_MESSAGE_NO_REDIRECT);
   if (aRequest.mIdempotent) {
-    soup_message_add_flags(made.get(), SOUP_MESSAGE_IDEMPOTENT);
+    soup_message_add_flags(message.get(), SOUP_MESSAGE_IDEMPOTENT);
   }
-  return made;
+  return message;
 }
 
 } // namespace
 
-http_client::http_client(uint32_t aConnections, uint32_t aTimeoutMs)
+http_client::http_client(uint32_t aMaxConnections, uint32_t aTimeoutMs)
   : mSession(SOUP_SESSION(g_object_new(SOUP_TYPE_SESSION,
                                        "max-conns",
-                                       int(aConnections),
+                                       int(aMaxConnections),
                                        "max-conns-per-host",
-                                       int(aConnections),
+                                       int(aMaxConnections),
                                        "idle-timeout",
-                                       kIdleSeconds,
+                                       kIdleTimeoutS,
                                        // All addresses are numeric; the
                                        // default proxy resolver reads desktop
                                        // settings.
@@ -156,15 +156,15 @@
   if (timeoutMs > 0) {
     pending->mTimer = g_timeout_add(timeoutMs, &OnTimeout, pending.get());
   }
-  SoupMessage* sent = pending->mMessage.get();
+  SoupMessage* message = pending->mMessage.get();
   g_signal_connect_swapped(
-    sent, "starting", G_CALLBACK(&NoteStarted), pending.get());
+    message, "starting", G_CALLBACK(&OnStarting), pending.get());
   GCancellable* cancellable = pending->mCancellable.get();
   soup_session_send_and_read_async(mSession.get(),
-                                   sent,
+                                   message,
                                    G_PRIORITY_DEFAULT,
                                    cancellable,
-                                   &OnDone,
+                                   &OnResponse,
                                    pending.release());
   return handle;
 }
@@ -174,8 +174,8 @@
 {
   gobject_ptr<SoupSession> session(SOUP_SESSION(g_object_new(
     SOUP_TYPE_SESSION, "timeout", guint((aTimeoutMs + 999) / 1000), nullptr)));
-  gobject_ptr<SoupMessage> sent = MakeSoupMessage(aRequest);
-  if (sent == nullptr) {
+  gobject_ptr<SoupMessage> message = MakeSoupMessage(aRequest);
+  if (message == nullptr) {
     http_response response;
     response.mFault = http_fault::Refused;
     response.mText = "not a URL: " + aRequest.mUrl;
@@ -183,9 +183,9 @@
   }
   GError* error = nullptr;
   GBytes* body =
-    soup_session_send_and_read(session.get(), sent.get(), nullptr, &error);
-  gerror_ptr held(error);
-  http_response response = ReadResponse(sent.get(), body, error, false);
+    soup_session_send_and_read(session.get(), message.get(), nullptr, &error);
+  gerror_ptr errorOwner(error);
+  http_response response = ReadResponse(message.get(), body, error, false);
   if (body != nullptr) {
     g_bytes_unref(body);
   }
--- a/shell/http_client.h
+++ b/shell/http_client.h
@@ -53,9 +53,9 @@
 public:
   using callback = std::function<void(const http_response&)>;
 
-  // aConnections: maximum number of open connections, in total and to one
+  // aMaxConnections: maximum number of open connections, in total and to one
   // server. aTimeoutMs: default timeout of a request; 0 for none.
-  http_client(uint32_t aConnections, uint32_t aTimeoutMs);
+  http_client(uint32_t aMaxConnections, uint32_t aTimeoutMs);
   ~http_client();
 
   // The callback runs exactly once, from the main loop. The returned object
--- a/shell/own_wakeups.cc
+++ b/shell/own_wakeups.cc
@@ -8,16 +8,16 @@
 namespace {
 
 // The wake-up descriptor of the default main context, an eventfd.
-int gWakeDescriptor = -1;
+int gWakeupDescriptor = -1;
 
 gint
-PollWithoutOwnWakeups(GPollFD* aDescriptors, guint aCount, gint aTimeoutMs)
+PollIgnoringWakeups(GPollFD* aDescriptors, guint aCount, gint aTimeoutMs)
 {
   if (aTimeoutMs != 0) {
     // The descriptor is non-blocking: without a pending signal, read fails.
     uint64_t signals = 0;
-    ssize_t got = read(gWakeDescriptor, &signals, sizeof signals);
-    (void)got;
+    ssize_t ignored = read(gWakeupDescriptor, &signals, sizeof signals);
+    (void)ignored;
   }
   return g_poll(aDescriptors, aCount, aTimeoutMs);
 }
@@ -33,15 +33,16 @@
   }
   gint priority = 0;
   gint timeoutMs = 0;
-  GPollFD found[2];
+  GPollFD descriptors[2];
   g_main_context_prepare(context, &priority);
-  gint count = g_main_context_query(context, G_MAXINT, &timeoutMs, found, 2);
+  gint count =
+    g_main_context_query(context, G_MAXINT, &timeoutMs, descriptors, 2);
   g_main_context_release(context);
   if (count != 1) {
     return;
   }
-  gWakeDescriptor = found[0].fd;
-  g_main_context_set_poll_func(context, &PollWithoutOwnWakeups);
+  gWakeupDescriptor = descriptors[0].fd;
+  g_main_context_set_poll_func(context, &PollIgnoringWakeups);
 }
 
 } // namespace cactusmast
