--- a/shell/peer_transport.cc
+++ b/shell/peer_transport.cc
@@ -12,16 +12,16 @@
 namespace {
 
 constexpr gint64 kSweepIntervalUs = G_USEC_PER_SEC / 20;
-constexpr size_t kReadChunk = 256u << 10;
-constexpr size_t kMaxGreetingFrame = 4096;
+constexpr size_t kReadChunkSize = 256u << 10;
+constexpr size_t kMaxHandshakeFrame = 4096;
 constexpr int kMaxReadsPerTurn = 8;
 // An idle connection to a machine that does not respond is closed after about 3
 // seconds. The machine may be back by then, but it serves no peer until that
 // peer connects again.
-constexpr int kProbeAfterS = 1;
-constexpr int kProbeIntervalS = 1;
-constexpr int kProbes = 2;
-constexpr int kUnacknowledgedMs = 2000;
+constexpr int kKeepAliveIdleS = 1;
+constexpr int kKeepAliveIntervalS = 1;
+constexpr int kKeepAliveProbes = 2;
+constexpr int kUnacknowledgedTimeoutMs = 2000;
 
 std::string
 MakeNonce()
@@ -35,7 +35,7 @@
 }
 
 void
-DropSource(GSource** aSource)
+DestroySource(GSource** aSource)
 {
   if (*aSource != nullptr) {
     g_source_destroy(*aSource);
@@ -70,7 +70,7 @@
 
 peer_transport::~peer_transport()
 {
-  DropSource(&mAcceptSource);
+  DestroySource(&mAcceptSource);
   if (mEpollSource != 0) {
     g_source_remove(mEpollSource);
   }
@@ -85,10 +85,10 @@
                        event_sink& aEvents)
 {
   return ResultOf<std::unique_ptr<peer_transport>>([&] {
-    std::unique_ptr<peer_transport> made(
+    std::unique_ptr<peer_transport> transport(
       new peer_transport(std::move(aOptions), aListener, aEvents));
-    made->Listen();
-    return made;
+    transport->Listen();
+    return transport;
   });
 }
 
@@ -106,21 +106,22 @@
     fail(nullptr);
   }
   GError* error = nullptr;
-  mServer.reset(g_socket_new(g_socket_address_get_family(address.get()),
-                             G_SOCKET_TYPE_STREAM,
-                             G_SOCKET_PROTOCOL_TCP,
-                             &error));
-  gerror_ptr held(error);
-  if (mServer == nullptr) {
+  mListenSocket.reset(g_socket_new(g_socket_address_get_family(address.get()),
+                                   G_SOCKET_TYPE_STREAM,
+                                   G_SOCKET_PROTOCOL_TCP,
+                                   &error));
+  gerror_ptr errorOwner(error);
+  if (mListenSocket == nullptr) {
     fail(error);
   }
-  g_socket_set_blocking(mServer.get(), FALSE);
-  g_socket_set_listen_backlog(mServer.get(), 1024);
+  g_socket_set_blocking(mListenSocket.get(), FALSE);
+  g_socket_set_listen_backlog(mListenSocket.get(), 1024);
   error = nullptr;
-  bool up = g_socket_bind(mServer.get(), address.get(), TRUE, &error) &&
-            g_socket_listen(mServer.get(), &error);
-  held.reset(error);
-  if (!up) {
+  bool listening =
+    g_socket_bind(mListenSocket.get(), address.get(), TRUE, &error) &&
+    g_socket_listen(mListenSocket.get(), &error);
+  errorOwner.reset(error);
+  if (!listening) {
     fail(error);
   }
   mEpoll = epoll_create1(EPOLL_CLOEXEC);
@@ -133,7 +134,7 @@
   // from the poll set during a dispatch, which costs two system calls.
   g_source_set_can_recurse(
     g_main_context_find_source_by_id(nullptr, mEpollSource), TRUE);
-  mAcceptSource = g_socket_create_source(mServer.get(), G_IO_IN, nullptr);
+  mAcceptSource = g_socket_create_source(mListenSocket.get(), G_IO_IN, nullptr);
   g_source_set_callback(mAcceptSource,
                         G_SOURCE_FUNC(&peer_transport::OnAcceptReady),
                         this,
@@ -142,7 +143,7 @@
 }
 
 void
-peer_transport::SetOptions(GSocket* aSocket) const
+peer_transport::SetSocketOptions(GSocket* aSocket) const
 {
   g_socket_set_blocking(aSocket, FALSE);
   auto set = [aSocket](int aOption, int aValue) {
@@ -153,25 +154,25 @@
     return;
   }
   g_socket_set_keepalive(aSocket, TRUE);
-  set(TCP_KEEPIDLE, kProbeAfterS);
-  set(TCP_KEEPINTVL, kProbeIntervalS);
-  set(TCP_KEEPCNT, kProbes);
-  set(TCP_USER_TIMEOUT, kUnacknowledgedMs);
+  set(TCP_KEEPIDLE, kKeepAliveIdleS);
+  set(TCP_KEEPINTVL, kKeepAliveIntervalS);
+  set(TCP_KEEPCNT, kKeepAliveProbes);
+  set(TCP_USER_TIMEOUT, kUnacknowledgedTimeoutMs);
 }
 
 peer_transport::link&
 peer_transport::AddLink(gobject_ptr<GSocket> aSocket, link_state aState)
 {
-  SetOptions(aSocket.get());
-  auto made = std::make_unique<link>(mOptions.mMaxFrame);
-  made->mOwner = this;
-  made->mId = mNextId++;
-  made->mState = aState;
-  made->mSocket = std::move(aSocket);
-  made->mNonce = MakeNonce();
-  made->mSince = g_get_monotonic_time();
-  link& added = *made;
-  mLinks[added.mId] = std::move(made);
+  SetSocketOptions(aSocket.get());
+  auto owned = std::make_unique<link>(mOptions.mMaxFrame);
+  owned->mOwner = this;
+  owned->mId = mNextId++;
+  owned->mState = aState;
+  owned->mSocket = std::move(aSocket);
+  owned->mNonce = MakeNonce();
+  owned->mCreatedAt = g_get_monotonic_time();
+  link& added = *owned;
+  mLinks[added.mId] = std::move(owned);
   return added;
 }
 
@@ -216,13 +217,13 @@
   GError* error = nullptr;
   bool done =
     g_socket_connect(added.mSocket.get(), address.get(), nullptr, &error);
-  gerror_ptr held(error);
+  gerror_ptr errorOwner(error);
   if (done) {
     SendHello(added);
   } else if (g_error_matches(error, G_IO_ERROR, G_IO_ERROR_PENDING)) {
-    Watch(added, true);
+    WatchSocket(added, true);
   } else {
-    Shut(added, false);
+    CloseLink(added, false);
   }
 }
 
@@ -230,20 +231,20 @@
 peer_transport::SendHello(link& aLink)
 {
   aLink.mState = link_state::Handshaking;
-  Watch(aLink, false);
+  WatchSocket(aLink, false);
   wire::hello_msg hello;
   hello.protocol = kProtocolVersion;
   hello.nonce = aLink.mNonce;
-  EncodeFrame(MakeMessage(std::move(hello)), &aLink.mOut);
+  EncodeFrame(MakeMessage(std::move(hello)), &aLink.mOutput);
   FlushLink(aLink);
 }
 
 std::string
-peer_transport::Proof(const std::string& aTheirNonce,
-                      const std::string& aOwnNonce,
+peer_transport::Proof(const std::string& aReceiverNonce,
+                      const std::string& aSenderNonce,
                       const wire::hello_msg& aHello) const
 {
-  std::string text = aTheirNonce + '|' + aOwnNonce + '|' +
+  std::string text = aReceiverNonce + '|' + aSenderNonce + '|' +
                      std::to_string(aHello.role) + '|' + aHello.name + '|' +
                      std::to_string(aHello.incarnation) + '|' + aHello.address +
                      '|' + std::to_string(aHello.shard);
@@ -253,9 +254,9 @@
     mOptions.mSharedKey.size(),
     text.data(),
     gssize(text.size()));
-  std::string made = digest;
+  std::string proof = digest;
   g_free(digest);
-  return made;
+  return proof;
 }
 
 void
@@ -273,31 +274,31 @@
     }
     aLink.mPeerNonce = aHello.nonce;
     const peer_identity& self = mOptions.mSelf;
-    wire::hello_msg answer;
-    answer.protocol = kProtocolVersion;
-    answer.role = uint8_t(self.mRole);
-    answer.name = self.mName;
-    answer.incarnation = self.mIncarnation;
-    answer.address = self.mAddress;
-    answer.data_center = self.mDataCenter;
-    answer.region = self.mRegion;
-    answer.shard = self.mShard;
-    answer.nonce = aLink.mNonce;
-    answer.proof = Proof(aLink.mPeerNonce, aLink.mNonce, answer);
-    EncodeFrame(MakeMessage(std::move(answer)), &aLink.mOut);
+    wire::hello_msg reply;
+    reply.protocol = kProtocolVersion;
+    reply.role = uint8_t(self.mRole);
+    reply.name = self.mName;
+    reply.incarnation = self.mIncarnation;
+    reply.address = self.mAddress;
+    reply.data_center = self.mDataCenter;
+    reply.region = self.mRegion;
+    reply.shard = self.mShard;
+    reply.nonce = aLink.mNonce;
+    reply.proof = Proof(aLink.mPeerNonce, aLink.mNonce, reply);
+    EncodeFrame(MakeMessage(std::move(reply)), &aLink.mOutput);
     FlushLink(aLink);
     return;
   }
   std::string expected = Proof(aLink.mNonce, aLink.mPeerNonce, aHello);
-  bool own = aHello.name == mOptions.mSelf.mName &&
-             aHello.role == uint8_t(mOptions.mSelf.mRole);
-  bool proven = EqualConstantTime(aHello.proof, expected) && !own &&
+  bool isSelf = aHello.name == mOptions.mSelf.mName &&
+                aHello.role == uint8_t(mOptions.mSelf.mRole);
+  bool proven = EqualConstantTime(aHello.proof, expected) && !isSelf &&
                 aHello.role < uint8_t(process_role::Count);
   if (!proven) {
     mCounters.mRefusedPeers++;
     mEvents.Emit(event_code::PeerRefused,
                  { { "peer", aHello.name }, { "step", "prove identity" } });
-    Shut(aLink, false);
+    CloseLink(aLink, false);
     return;
   }
   aLink.mIdentity.mRole = process_role(aHello.role);
@@ -307,7 +308,7 @@
   aLink.mIdentity.mDataCenter = aHello.data_center;
   aLink.mIdentity.mRegion = aHello.region;
   aLink.mIdentity.mShard = aHello.shard;
-  aLink.mLabel = aHello.name;
+  aLink.mPeerName = aHello.name;
   aLink.mState = link_state::Ready;
   mListener.OnPeerUp(aLink.mId, aLink.mIdentity);
 }
@@ -317,8 +318,8 @@
 {
   mCounters.mProtocolErrors++;
   mEvents.Emit(event_code::PeerProtocolError,
-               { { "peer", aLink.mLabel }, { "text", aText } });
-  Shut(aLink, true);
+               { { "peer", aLink.mPeerName }, { "text", aText } });
+  CloseLink(aLink, true);
 }
 
 void
@@ -343,11 +344,11 @@
     std::string_view frame;
     while (aLink.mState != link_state::Closed && aLink.mReader.Next(&frame)) {
       if (aLink.mState != link_state::Ready &&
-          frame.size() > kMaxGreetingFrame) {
+          frame.size() > kMaxHandshakeFrame) {
         FailProtocol(aLink, "a frame over the size limit of the handshake");
         return;
       }
-      result<message> decoded = DecodeEnvelope(frame, aLink.mLabel);
+      result<message> decoded = DecodeEnvelope(frame, aLink.mPeerName);
       OnFrame(aLink, decoded.Value());
     }
   } catch (const failure& error) {
@@ -358,18 +359,18 @@
 void
 peer_transport::OnReadable(link& aLink)
 {
-  static char chunk[kReadChunk];
+  static char chunk[kReadChunkSize];
   for (int i = 0; i < kMaxReadsPerTurn; i++) {
     GError* error = nullptr;
     gssize count = g_socket_receive(
       aLink.mSocket.get(), chunk, sizeof chunk, nullptr, &error);
-    gerror_ptr held(error);
+    gerror_ptr errorOwner(error);
     if (count < 0 &&
         g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
       return;
     }
     if (count <= 0) {
-      Shut(aLink, true);
+      CloseLink(aLink, true);
       return;
     }
     mCounters.mBytesIn += uint64_t(count);
@@ -382,7 +383,7 @@
 }
 
 void
-peer_transport::Watch(link& aLink, bool aOutput)
+peer_transport::WatchSocket(link& aLink, bool aOutput)
 {
   if (aLink.mWatched && aLink.mWatchOutput == aOutput) {
     return;
@@ -403,12 +404,12 @@
                              GIOCondition /*aCondition*/,
                              gpointer aData)
 {
-  static_cast<peer_transport*>(aData)->HandleReady();
+  static_cast<peer_transport*>(aData)->HandleEvents();
   return G_SOURCE_CONTINUE;
 }
 
 void
-peer_transport::HandleReady()
+peer_transport::HandleEvents()
 {
   constexpr int kMaxReady = 256;
   epoll_event ready[kMaxReady];
@@ -421,16 +422,16 @@
     if (found == mLinks.end()) {
       continue;
     }
-    link& one = *found->second;
+    link& current = *found->second;
     if ((ready[i].events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) != 0 &&
-        one.mWatchOutput && one.mState != link_state::Closed) {
-      Watch(one, false);
-      OnWritable(one);
+        current.mWatchOutput && current.mState != link_state::Closed) {
+      WatchSocket(current, false);
+      OnWritable(current);
     }
-    bool open =
-      one.mState == link_state::Handshaking || one.mState == link_state::Ready;
+    bool open = current.mState == link_state::Handshaking ||
+                current.mState == link_state::Ready;
     if (open && (ready[i].events & ~unsigned(EPOLLOUT)) != 0) {
-      OnReadable(one);
+      OnReadable(current);
     }
   }
 }
@@ -439,9 +440,10 @@
 peer_transport::OnWritable(link& aLink)
 {
   if (aLink.mState == link_state::Connecting) {
-    bool up = g_socket_check_connect_result(aLink.mSocket.get(), nullptr);
-    if (!up) {
-      Shut(aLink, false);
+    bool connected =
+      g_socket_check_connect_result(aLink.mSocket.get(), nullptr);
+    if (!connected) {
+      CloseLink(aLink, false);
       return;
     }
     SendHello(aLink);
@@ -453,29 +455,29 @@
 void
 peer_transport::FlushLink(link& aLink)
 {
-  while (aLink.mOutDone < aLink.mOut.size()) {
+  while (aLink.mOutputSent < aLink.mOutput.size()) {
     GError* error = nullptr;
     gssize count = g_socket_send(aLink.mSocket.get(),
-                                 aLink.mOut.data() + aLink.mOutDone,
-                                 aLink.mOut.size() - aLink.mOutDone,
+                                 aLink.mOutput.data() + aLink.mOutputSent,
+                                 aLink.mOutput.size() - aLink.mOutputSent,
                                  nullptr,
                                  &error);
-    gerror_ptr held(error);
+    gerror_ptr errorOwner(error);
     if (count < 0 &&
         g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
-      Watch(aLink, true);
+      WatchSocket(aLink, true);
       break;
     }
     if (count < 0) {
-      Shut(aLink, true);
+      CloseLink(aLink, true);
       return;
     }
-    aLink.mOutDone += size_t(count);
+    aLink.mOutputSent += size_t(count);
     mCounters.mBytesOut += uint64_t(count);
   }
-  if (aLink.mOutDone == aLink.mOut.size()) {
-    aLink.mOut.clear();
-    aLink.mOutDone = 0;
+  if (aLink.mOutputSent == aLink.mOutput.size()) {
+    aLink.mOutput.clear();
+    aLink.mOutputSent = 0;
   }
 }
 
@@ -487,27 +489,27 @@
     return;
   }
   link& target = *found->second;
-  if (target.mOut.empty()) {
+  if (target.mOutput.empty()) {
     mUnflushed.push_back(aPeer);
   }
-  EncodeFrame(aMessage, &target.mOut);
+  EncodeFrame(aMessage, &target.mOutput);
   mCounters.mMessagesOut++;
-  if (target.mOut.size() - target.mOutDone > mOptions.mMaxSend) {
+  if (target.mOutput.size() - target.mOutputSent > mOptions.mMaxSend) {
     // The peer has stopped reading. Whether it got the messages is resolved by
     // asking it after it has connected again.
     mCounters.mSendBudgetSpent++;
     mEvents.Emit(event_code::BudgetSpent,
-                 { { "budget", "send" }, { "peer", target.mLabel } });
-    Shut(target, true);
+                 { { "budget", "send" }, { "peer", target.mPeerName } });
+    CloseLink(target, true);
   }
 }
 
 void
 peer_transport::Flush()
 {
-  std::vector<peer_id> waiting = std::move(mUnflushed);
+  std::vector<peer_id> unflushed = std::move(mUnflushed);
   mUnflushed.clear();
-  for (peer_id peer : waiting) {
+  for (peer_id peer : unflushed) {
     auto found = mLinks.find(peer);
     bool writable = found != mLinks.end() &&
                     found->second->mState == link_state::Ready &&
@@ -522,7 +524,7 @@
 peer_transport::OutputPending() const
 {
   for (const auto& [id, link] : mLinks) {
-    if (link->mState == link_state::Ready && !link->mOut.empty()) {
+    if (link->mState == link_state::Ready && !link->mOutput.empty()) {
       return true;
     }
   }
@@ -530,7 +532,7 @@
 }
 
 void
-peer_transport::Shut(link& aLink, bool aTell)
+peer_transport::CloseLink(link& aLink, bool aNotify)
 {
   if (aLink.mState == link_state::Closed) {
     return;
@@ -539,7 +541,7 @@
   aLink.mState = link_state::Closed;
   // Closing the socket also removes it from the epoll set.
   g_socket_close(aLink.mSocket.get(), nullptr);
-  if (aTell && wasReady) {
+  if (aNotify && wasReady) {
     mListener.OnPeerDown(aLink.mId);
   }
 }
@@ -549,7 +551,7 @@
 {
   auto found = mLinks.find(aPeer);
   if (found != mLinks.end()) {
-    Shut(*found->second, false);
+    CloseLink(*found->second, false);
   }
 }
 
@@ -564,11 +566,11 @@
   for (auto entry = mLinks.begin(); entry != mLinks.end();) {
     link& checked = *entry->second;
     bool connecting = checked.mState == link_state::Connecting;
-    bool greeting = connecting || checked.mState == link_state::Handshaking;
+    bool inHandshake = connecting || checked.mState == link_state::Handshaking;
     uint32_t limitMs =
       connecting ? mOptions.mConnectLimitMs : mOptions.mHandshakeLimitMs;
-    if (greeting && now - checked.mSince > gint64(limitMs) * 1000) {
-      Shut(checked, false);
+    if (inHandshake && now - checked.mCreatedAt > gint64(limitMs) * 1000) {
+      CloseLink(checked, false);
     }
     entry = checked.mState == link_state::Closed ? mLinks.erase(entry)
                                                  : std::next(entry);
--- a/shell/peer_transport.h
+++ b/shell/peer_transport.h
@@ -118,14 +118,14 @@
     bool mWatched = false;     // whether it is in the epoll set
     bool mWatchOutput = false; // whether the epoll set waits for output space
     frame_reader mReader;
-    std::string mOut;        // output, of which mOutDone bytes are written
-    size_t mOutDone = 0;     // bytes
+    std::string mOutput;     // output, of which mOutputSent bytes are written
+    size_t mOutputSent = 0;  // bytes
     std::string mAddress;    // as given to Connect; empty for an accepted link
     std::string mNonce;      // ours
     std::string mPeerNonce;  // empty until the peer's first hello
     peer_identity mIdentity; // valid once Ready
-    gint64 mSince = 0;       // monotonic time in us, of its creation
-    std::string mLabel;      // the peer's name, for logs; empty until Ready
+    gint64 mCreatedAt = 0;   // monotonic time in us
+    std::string mPeerName;   // the peer's name, for logs; empty until Ready
   };
 
   peer_transport(transport_options aOptions,
@@ -133,10 +133,10 @@
                  event_sink& aEvents);
   void Listen();
   link& AddLink(gobject_ptr<GSocket> aSocket, link_state aState);
-  void SetOptions(GSocket* aSocket) const;
+  void SetSocketOptions(GSocket* aSocket) const;
   void SendHello(link& aLink);
-  // Closes the link. With aTell, calls OnPeerDown if it was Ready.
-  void Shut(link& aLink, bool aTell);
+  // Closes the link. With aNotify, calls OnPeerDown if it was Ready.
+  void CloseLink(link& aLink, bool aNotify);
   void OnReadable(link& aLink);
   void OnWritable(link& aLink);
   void ReadFrames(link& aLink);
@@ -147,8 +147,8 @@
   void FailProtocol(link& aLink, const std::string& aText);
   // HMAC over the receiver's nonce, the sender's nonce and the sender's
   // identity as stated in aHello.
-  std::string Proof(const std::string& aTheirNonce,
-                    const std::string& aOwnNonce,
+  std::string Proof(const std::string& aReceiverNonce,
+                    const std::string& aSenderNonce,
                     const wire::hello_msg& aHello) const;
 
   static gboolean OnAcceptReady(GSocket* aSocket,
@@ -157,15 +157,15 @@
   static gboolean OnEpollReady(gint aFd,
                                GIOCondition aCondition,
                                gpointer aData);
-  void HandleReady();
+  void HandleEvents();
   // Makes the epoll set wait for input on the link and, with aOutput, until it
   // can be written to.
-  void Watch(link& aLink, bool aOutput);
+  void WatchSocket(link& aLink, bool aOutput);
 
   transport_options mOptions;
   transport_listener& mListener;
   event_sink& mEvents;
-  gobject_ptr<GSocket> mServer;
+  gobject_ptr<GSocket> mListenSocket;
   GSource* mAcceptSource = nullptr;
   // GLib polls each of its sources in every turn of the loop, at a cost that
   // grows with the number of links. Therefore all links are in one epoll set,
