--- a/shell/backend_client.cc
+++ b/shell/backend_client.cc
@@ -4,7 +4,7 @@
 namespace {
 
 // Limit that the users set for connections to one runner.
-constexpr uint32_t kConnections = 64;
+constexpr uint32_t kMaxConnections = 64;
 constexpr int kOk = 200;
 
 std::string
@@ -15,9 +15,9 @@
 
 } // namespace
 
-backend_client::backend_client(callback aOnEnd)
-  : mClient(kConnections, 0)
-  , mOnEnd(std::move(aOnEnd))
+backend_client::backend_client(callback aOnCompletion)
+  : mClient(kMaxConnections, 0)
+  , mOnCompletion(std::move(aOnCompletion))
 {
 }
 
@@ -34,39 +34,40 @@
   mRunning[ref] =
     mClient.Send(request, [this, ref](const http_response& aResponse) {
       mRunning.erase(ref);
-      mOnEnd(Decode(ref, aResponse));
+      mOnCompletion(Decode(ref, aResponse));
     });
 }
 
 task_completion
 backend_client::Decode(const task_ref& aRef, const http_response& aResponse)
 {
-  task_completion end;
-  end.mRef = aRef;
-  end.mOutput = aResponse.mBody;
+  task_completion completion;
+  completion.mRef = aRef;
+  completion.mOutput = aResponse.mBody;
   if (aResponse.mFault == http_fault::Refused) {
-    end.mOutcome = task_outcome::Refused;
-    end.mRunState = run_state::NotRun;
-    end.mReason = task_reason::Withdrawn;
-    return end;
+    completion.mOutcome = task_outcome::Refused;
+    completion.mRunState = run_state::NotRun;
+    completion.mReason = task_reason::Withdrawn;
+    return completion;
   }
   if (aResponse.mFault != http_fault::None) {
-    end.mOutcome = task_outcome::Failed;
-    end.mRunState = run_state::Unknown;
-    end.mReason = task_reason::BackendLost;
-    end.mOutput = aResponse.mText;
-    return end;
+    completion.mOutcome = task_outcome::Failed;
+    completion.mRunState = run_state::Unknown;
+    completion.mReason = task_reason::BackendLost;
+    completion.mOutput = aResponse.mText;
+    return completion;
   }
   if (aResponse.mStatus == kOk) {
-    end.mOutcome = task_outcome::Succeeded;
-    end.mRunState = run_state::Run;
-    return end;
+    completion.mOutcome = task_outcome::Succeeded;
+    completion.mRunState = run_state::Run;
+    return completion;
   }
   bool notRun = aResponse.mRunHeader == Name(run_state::NotRun);
-  end.mOutcome = notRun ? task_outcome::Refused : task_outcome::Failed;
-  end.mRunState = notRun ? run_state::NotRun : run_state::Run;
-  end.mReason = notRun ? task_reason::Withdrawn : task_reason::BackendError;
-  return end;
+  completion.mOutcome = notRun ? task_outcome::Refused : task_outcome::Failed;
+  completion.mRunState = notRun ? run_state::NotRun : run_state::Run;
+  completion.mReason =
+    notRun ? task_reason::Withdrawn : task_reason::BackendError;
+  return completion;
 }
 
 void
--- a/shell/backend_client.h
+++ b/shell/backend_client.h
@@ -18,8 +18,8 @@
 public:
   using callback = std::function<void(const task_completion&)>;
 
-  // aOnEnd is called once for each started task, from the main loop.
-  explicit backend_client(callback aOnEnd);
+  // aOnCompletion is called once for each started task, from the main loop.
+  explicit backend_client(callback aOnCompletion);
 
   // Sets the URL, without a path, of the backend server for later requests.
   void SetUrl(const std::string& aUrl) { mUrl = aUrl; }
@@ -33,7 +33,7 @@
 
   std::string mUrl;
   http_client mClient;
-  callback mOnEnd;
+  callback mOnCompletion;
   std::unordered_map<task_ref,
                      gobject_ptr<GCancellable>,
                      task_ref_hash,
--- a/shell/log_sink.cc
+++ b/shell/log_sink.cc
@@ -16,15 +16,15 @@
 
 // Limit of lines below severity Error. An entry with 100 jobs per second writes
 // about 400 lines per second, four per job.
-constexpr uint32_t kLinesPerSecond = 600;
+constexpr uint32_t kMaxLinesPerSecond = 600;
 // Part of the limit above that progress events of jobs may use. There are
 // several for each job, so that under load they would exhaust the limit, the
 // endings of jobs would be dropped, and a failed job could not be found in the
 // log.
-constexpr uint32_t kStepLinesPerSecond = 350;
+constexpr uint32_t kMaxProgressLinesPerSecond = 350;
 
 // Lines that the stream did not accept and that were not reported yet.
-uint64_t gUnwritten = 0;
+uint64_t gUnwrittenLines = 0;
 
 // Writes lines to a descriptor, which it makes non-blocking.
 class descriptor_backend
@@ -47,7 +47,7 @@
     std::string line = aLine + '\n';
     ssize_t written = write(mFd, line.data(), line.size());
     if (written != ssize_t(line.size())) {
-      gUnwritten++;
+      gUnwrittenLines++;
     }
   }
 
@@ -70,7 +70,7 @@
 }
 
 int64_t
-WallMilliseconds()
+WallClockMs()
 {
   auto now = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
@@ -78,10 +78,11 @@
 
 // Whether the text needs no escaping in JSON.
 bool
-IsPlain(std::string_view aText)
+NeedsNoEscaping(std::string_view aText)
 {
-  for (char one : aText) {
-    bool plain = one >= ' ' && one <= '~' && one != '"' && one != '\\';
+  for (char character : aText) {
+    bool plain = character >= ' ' && character <= '~' && character != '"' &&
+                 character != '\\';
     if (!plain) {
       return false;
     }
@@ -93,7 +94,7 @@
 void
 AppendText(std::string_view aText, std::string* aOut)
 {
-  if (!IsPlain(aText)) {
+  if (!NeedsNoEscaping(aText)) {
     *aOut += nlohmann::json(aText).dump(
       -1, ' ', false, nlohmann::json::error_handler_t::replace);
     return;
@@ -114,7 +115,7 @@
 
 // Whether the event tells the progress of a job before its ending.
 bool
-IsStepOfJob(event_code aCode)
+IsJobProgress(event_code aCode)
 {
   return aCode == event_code::JobAccepted || aCode == event_code::TasksPlaced ||
          aCode == event_code::AttemptEnded;
@@ -128,9 +129,9 @@
               const std::string& aProcess,
               const std::vector<event_field>& aFields)
 {
-  constexpr size_t kOrdinaryLine = 400;
+  constexpr size_t kTypicalLineSize = 400;
   std::string line;
-  line.reserve(kOrdinaryLine);
+  line.reserve(kTypicalLineSize);
   line += "{\"time_ms\":" + std::to_string(aNowMs);
   line += ",\"event\":" + std::to_string(int(aRow.mCode));
   AppendField("name", aRow.mName, &line);
@@ -143,25 +144,27 @@
   return line;
 }
 
-log_sink::log_sink(std::string aProcess, severity aLeast, log_stream aStream)
+log_sink::log_sink(std::string aProcess,
+                   severity aMinSeverity,
+                   log_stream aStream)
   : mProcess(std::move(aProcess))
-  , mLeast(aLeast)
+  , mMinSeverity(aMinSeverity)
 {
   InstallBackend(aStream);
 }
 
 bool
-log_sink::WithinBudget(int64_t aNowMs, const event_row& aRow)
+log_sink::TakeFromBudget(int64_t aNowMs, const event_row& aRow)
 {
   int64_t second = aNowMs / 1000;
   if (second != mSecond) {
     mSecond = second;
     mLinesInSecond = 0;
-    mStepLinesInSecond = 0;
-    uint64_t dropped = mDropped + gUnwritten;
+    mProgressLinesInSecond = 0;
+    uint64_t dropped = mDroppedLines + gUnwrittenLines;
     if (dropped > 0) {
-      mDropped = 0;
-      gUnwritten = 0;
+      mDroppedLines = 0;
+      gUnwrittenLines = 0;
       Write(EventOf(event_code::LinesDropped),
             aNowMs,
             { { "lines", std::to_string(dropped) } });
@@ -170,15 +173,16 @@
   if (aRow.mSeverity == severity::Error) {
     return true;
   }
-  bool step = IsStepOfJob(aRow.mCode);
-  bool over = mLinesInSecond >= kLinesPerSecond ||
-              (step && mStepLinesInSecond >= kStepLinesPerSecond);
+  bool isProgress = IsJobProgress(aRow.mCode);
+  bool over =
+    mLinesInSecond >= kMaxLinesPerSecond ||
+    (isProgress && mProgressLinesInSecond >= kMaxProgressLinesPerSecond);
   if (over) {
-    mDropped++;
+    mDroppedLines++;
     return false;
   }
   mLinesInSecond++;
-  mStepLinesInSecond += step ? 1 : 0;
+  mProgressLinesInSecond += isProgress ? 1 : 0;
   return true;
 }
 
@@ -186,11 +190,11 @@
 log_sink::Emit(event_code aCode, std::vector<event_field> aFields)
 {
   const event_row& row = EventOf(aCode);
-  if (row.mSeverity < mLeast) {
+  if (row.mSeverity < mMinSeverity) {
     return;
   }
-  int64_t now = WallMilliseconds();
-  if (WithinBudget(now, row)) {
+  int64_t now = WallClockMs();
+  if (TakeFromBudget(now, row)) {
     Write(row, now, aFields);
   }
 }
--- a/shell/log_sink.h
+++ b/shell/log_sink.h
@@ -1,9 +1,9 @@
 // Structured logs: one JSON object per line, written through Boost.Log.
 //
 // Writing never blocks. Lines that the stream does not accept immediately are
-// dropped. Lines below severity Error are limited to kLinesPerSecond, of which
-// progress events of jobs get only a part; those beyond are dropped as well.
-// The number of dropped lines is logged, at most once a second.
+// dropped. Lines below severity Error are limited to kMaxLinesPerSecond, of
+// which progress events of jobs get only a part; those beyond are dropped as
+// well. The number of dropped lines is logged, at most once a second.
 
 #ifndef SHELL_LOG_SINK_H_
 #define SHELL_LOG_SINK_H_
@@ -35,26 +35,26 @@
 class log_sink : public event_sink
 {
 public:
-  // aProcess is the process name in every line. Events below aLeast are not
-  // logged. All sinks of a process write to the stream of the first one.
+  // aProcess is the process name in every line. Events below aMinSeverity are
+  // not logged. All sinks of a process write to the stream of the first one.
   log_sink(std::string aProcess,
-           severity aLeast,
+           severity aMinSeverity,
            log_stream aStream = log_stream::Error);
   void Emit(event_code aCode, std::vector<event_field> aFields) override;
 
 private:
   // Counts the line; false when it is over the limit and must be dropped.
-  bool WithinBudget(int64_t aNowMs, const event_row& aRow);
+  bool TakeFromBudget(int64_t aNowMs, const event_row& aRow);
   void Write(const event_row& aRow,
              int64_t aNowMs,
              const std::vector<event_field>& aFields);
 
   std::string mProcess;
-  severity mLeast;
+  severity mMinSeverity;
   int64_t mSecond = 0; // since 1970; the second that is being counted
   uint32_t mLinesInSecond = 0;
-  uint32_t mStepLinesInSecond = 0;
-  uint64_t mDropped = 0; // lines over the limit that were not reported yet
+  uint32_t mProgressLinesInSecond = 0;
+  uint64_t mDroppedLines = 0; // lines over the limit that were not reported yet
 };
 
 } // namespace cactusmast
--- a/shell/metrics_page.cc
+++ b/shell/metrics_page.cc
@@ -73,24 +73,24 @@
 void
 metrics_page::Latency(const std::string& aName,
                       const std::string& aHelp,
-                      const latency_histogram& aMeasured)
+                      const latency_histogram& aHistogram)
 {
   prometheus::ClientMetric metric;
-  uint64_t below = 0;
+  uint64_t cumulative = 0;
   for (size_t i = 0; i < latency_histogram::kBoundsMs.size(); i++) {
-    below += aMeasured.Counts()[i];
+    cumulative += aHistogram.Counts()[i];
     prometheus::ClientMetric::Bucket bucket;
-    bucket.cumulative_count = below;
+    bucket.cumulative_count = cumulative;
     bucket.upper_bound = latency_histogram::kBoundsMs[i] / kMsInSecond;
     metric.histogram.bucket.push_back(bucket);
   }
-  below += aMeasured.Counts().back();
-  prometheus::ClientMetric::Bucket all;
-  all.cumulative_count = below;
-  all.upper_bound = std::numeric_limits<double>::infinity();
-  metric.histogram.bucket.push_back(all);
-  metric.histogram.sample_count = below;
-  metric.histogram.sample_sum = aMeasured.SumMs() / kMsInSecond;
+  cumulative += aHistogram.Counts().back();
+  prometheus::ClientMetric::Bucket overflow;
+  overflow.cumulative_count = cumulative;
+  overflow.upper_bound = std::numeric_limits<double>::infinity();
+  metric.histogram.bucket.push_back(overflow);
+  metric.histogram.sample_count = cumulative;
+  metric.histogram.sample_sum = aHistogram.SumMs() / kMsInSecond;
   prometheus::MetricFamily family;
   family.name = aName;
   family.help = aHelp;
@@ -106,12 +106,12 @@
 }
 
 void
-AddEvacuationMetrics(const evacuation_tracker& aKnown,
+AddEvacuationMetrics(const evacuation_tracker& aTracker,
                      instant aNow,
                      metrics_page* aPage)
 {
   std::map<std::string, double> seconds;
-  for (const auto& [center, since] : aKnown.Since()) {
+  for (const auto& [center, since] : aTracker.Since()) {
     seconds[center] = MsBetween(since, aNow) / kMsInSecond;
   }
   aPage->Gauges(kEvacuatedMetric,
@@ -122,7 +122,7 @@
   aPage->Gauge(kEvacuationsAgeMetric,
                "Time since the store last reported which data centres are "
                "evacuated.",
-               double(ToMs(aKnown.Age(aNow))) / kMsInSecond);
+               double(ToMs(aTracker.Age(aNow))) / kMsInSecond);
 }
 
 void
--- a/shell/metrics_page.h
+++ b/shell/metrics_page.h
@@ -33,7 +33,7 @@
   // A histogram in seconds, the usual unit of the format.
   void Latency(const std::string& aName,
                const std::string& aHelp,
-               const latency_histogram& aMeasured);
+               const latency_histogram& aHistogram);
   std::string Render() const;
 
 private:
@@ -51,7 +51,7 @@
 // Adds for how long each evacuated data centre has been known as such, and the
 // time since the store last reported the evacuations.
 void
-AddEvacuationMetrics(const evacuation_tracker& aKnown,
+AddEvacuationMetrics(const evacuation_tracker& aTracker,
                      instant aNow,
                      metrics_page* aPage);
 
--- a/shell/metrics_reader.cc
+++ b/shell/metrics_reader.cc
@@ -8,7 +8,7 @@
 
 // Returns the text between the first two quotes; empty if there are none.
 std::string
-Quoted(const std::string& aText)
+FirstQuoted(const std::string& aText)
 {
   size_t first = aText.find('"');
   size_t last = aText.find('"', first + 1);
@@ -27,14 +27,15 @@
   while (std::getline(lines, line)) {
     size_t space = line.rfind(' ');
     size_t nameEnd = line.find_first_of("{ ");
-    bool ours = space != std::string::npos && line.substr(0, nameEnd) == aName;
-    if (!ours) {
+    bool matches =
+      space != std::string::npos && line.substr(0, nameEnd) == aName;
+    if (!matches) {
       continue;
     }
     char* end = nullptr;
     double value = std::strtod(line.c_str() + space, &end);
     if (*end == '\0') {
-      values[Quoted(line.substr(nameEnd, space - nameEnd))] = value;
+      values[FirstQuoted(line.substr(nameEnd, space - nameEnd))] = value;
     }
   }
   return values;
--- a/shell/table_client.cc
+++ b/shell/table_client.cc
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-constexpr uint32_t kConnections = 8;
+constexpr uint32_t kMaxConnections = 8;
 
 } // namespace
 
@@ -15,7 +15,7 @@
                            uint32_t aTimeoutMs,
                            callback aOnReply)
   : mUrl(std::move(aUrl))
-  , mClient(kConnections, aTimeoutMs)
+  , mClient(kMaxConnections, aTimeoutMs)
   , mOnReply(std::move(aOnReply))
 {
 }
@@ -29,7 +29,7 @@
   json body = { { "prefix", aPrefix },
                 { "limit", aLimit },
                 { "newest_first", aNewestFirst } };
-  uint64_t request = mNext++;
+  uint64_t request = mNextRequest++;
   Send(request, "/v1/read", body.dump());
   return request;
 }
@@ -49,7 +49,7 @@
     }
     writes.push_back(std::move(row));
   }
-  uint64_t request = mNext++;
+  uint64_t request = mNextRequest++;
   Send(request, "/v1/commit", json({ { "writes", writes } }).dump());
   return request;
 }
--- a/shell/table_client.h
+++ b/shell/table_client.h
@@ -42,7 +42,7 @@
   std::string mUrl;
   http_client mClient;
   callback mOnReply;
-  uint64_t mNext = 1; // next request number
+  uint64_t mNextRequest = 1; // next request number
   table_counters mCounters;
 };
 
--- a/shell/testing/daemon_test.cc
+++ b/shell/testing/daemon_test.cc
@@ -29,10 +29,10 @@
   static gboolean OnWork(gpointer aData)
   {
     auto* self = static_cast<busy_daemon*>(aData);
-    return Now() < self->mGiveUpAt ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
+    return Now() < self->mStopWorkAt ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
   }
 
-  instant mGiveUpAt = Now() + milliseconds(4000);
+  instant mStopWorkAt = Now() + milliseconds(4000);
   bool mWasAborted = false;
 };
 
@@ -52,11 +52,11 @@
       return G_SOURCE_REMOVE;
     },
     nullptr);
-  instant began = Now();
+  instant startedAt = Now();
   int code = daemon.Run(kDrainMs);
   CHECK(code == 1);
   CHECK(daemon.Aborted());
-  CHECK(Now() - began < milliseconds(2000));
+  CHECK(Now() - startedAt < milliseconds(2000));
 }
 
 } // namespace cactusmast::testing
--- a/shell/testing/log_sink_test.cc
+++ b/shell/testing/log_sink_test.cc
@@ -14,7 +14,7 @@
 
 // Returns how often aText occurs in what aWrite writes to standard error.
 size_t
-LinesWith(const std::string& aText, const std::function<void()>& aWrite)
+CountOccurrences(const std::string& aText, const std::function<void()>& aWrite)
 {
   char path[] = "/tmp/cactusmast-log-XXXXXX";
   int file = mkstemp(path);
@@ -24,16 +24,16 @@
   dup2(saved, STDERR_FILENO);
   close(saved);
   lseek(file, 0, SEEK_SET);
-  std::string all;
+  std::string output;
   char chunk[4096];
   for (ssize_t n = 0; (n = read(file, chunk, sizeof chunk)) > 0;) {
-    all.append(chunk, size_t(n));
+    output.append(chunk, size_t(n));
   }
   close(file);
   unlink(path);
   size_t count = 0;
-  for (size_t at = all.find(aText); at != std::string::npos;
-       at = all.find(aText, at + 1)) {
+  for (size_t at = output.find(aText); at != std::string::npos;
+       at = output.find(aText, at + 1)) {
     count++;
   }
   return count;
@@ -68,7 +68,7 @@
   // progress events at the start of a second exhausted the limit, the endings
   // would be dropped, and operators could not find out how a job ended.
   log_sink log("edge-1", severity::Info);
-  size_t endings = LinesWith("job_decided", [&] {
+  size_t endings = CountOccurrences("job_decided", [&] {
     for (int i = 0; i < 250; i++) {
       for (int n = 0; n < 6; n++) {
         log.Emit(event_code::TasksPlaced, { { "job", std::to_string(i) } });
--- a/shell/testing/metrics_test.cc
+++ b/shell/testing/metrics_test.cc
@@ -12,10 +12,10 @@
 
 TEST_CASE("a metrics page lists evacuated data centres with their duration")
 {
-  evacuation_tracker known;
-  known.Update({ { 5, { "a", "b-2" } }, seconds(100) });
+  evacuation_tracker tracker;
+  tracker.Update({ { 5, { "a", "b-2" } }, seconds(100) });
   metrics_page page;
-  AddEvacuationMetrics(known, seconds(103) + milliseconds(500), &page);
+  AddEvacuationMetrics(tracker, seconds(103) + milliseconds(500), &page);
   std::string text = page.Render();
   auto centers = ReadGauges(text, kEvacuatedMetric);
   CHECK(centers ==
