--- a/shell/testing/daemon_test.cc
+++ b/shell/testing/daemon_test.cc
@@ -1,4 +1,4 @@
-// The main loop of the daemons.
+// Tests of the main loop of the daemons.
 
 #include <doctest/doctest.h>
 
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-// A node that is never drained, in a loop that always has work.
+// A daemon that never finishes draining and whose main loop always has work.
 class busy_daemon : public daemon_loop
 {
 public:
@@ -25,24 +25,25 @@
   void OnAbort() override { mWasAborted = true; }
 
 private:
-  // Gives up after a while, so that the test can fail.
+  // Stops after a while, so that the test fails instead of hanging.
   static gboolean OnWork(gpointer aData)
   {
     auto* self = static_cast<busy_daemon*>(aData);
-    return Now() < self->mGiveUpAt ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
+    return Now() < self->mStopWorkAt ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
   }
 
-  instant mGiveUpAt = Now() + milliseconds(4000);
+  instant mStopWorkAt = Now() + milliseconds(4000);
   bool mWasAborted = false;
 };
 
 } // namespace
 
-TEST_CASE("a planned stop ends in its time although the loop always has work")
+TEST_CASE("a drain ends at its deadline even if the loop always has work")
 {
-  // Guards against small entries that are killed at the end of the grace time.
+  // Guards against a main loop under constant load that never checks the drain
+  // deadline: small entries would be killed at the end of the grace period.
   constexpr uint32_t kDrainMs = 200;
-  // Its sources stay in the main context, which other tests run again.
+  // Static because its source stays in the main context, which later tests run.
   static busy_daemon daemon;
   g_timeout_add(
     50,
@@ -51,11 +52,11 @@
       return G_SOURCE_REMOVE;
     },
     nullptr);
-  instant began = Now();
+  instant startedAt = Now();
   int code = daemon.Run(kDrainMs);
   CHECK(code == 1);
   CHECK(daemon.Aborted());
-  CHECK(Now() - began < milliseconds(2000));
+  CHECK(Now() - startedAt < milliseconds(2000));
 }
 
 } // namespace cactusmast::testing
--- a/shell/testing/log_sink_test.cc
+++ b/shell/testing/log_sink_test.cc
@@ -1,3 +1,5 @@
+// Tests of the JSON form of log lines and of the limit of lines per second.
+
 #include "shell/log_sink.h"
 
 #include <cstdio>
@@ -10,10 +12,9 @@
 namespace cactusmast {
 namespace {
 
-// Counts the lines that contain aText and were written to standard error
-// while aWrite ran.
+// Returns how often aText occurs in what aWrite writes to standard error.
 size_t
-LinesWith(const std::string& aText, const std::function<void()>& aWrite)
+CountOccurrences(const std::string& aText, const std::function<void()>& aWrite)
 {
   char path[] = "/tmp/cactusmast-log-XXXXXX";
   int file = mkstemp(path);
@@ -23,16 +24,16 @@
   dup2(saved, STDERR_FILENO);
   close(saved);
   lseek(file, 0, SEEK_SET);
-  std::string all;
+  std::string output;
   char chunk[4096];
   for (ssize_t n = 0; (n = read(file, chunk, sizeof chunk)) > 0;) {
-    all.append(chunk, size_t(n));
+    output.append(chunk, size_t(n));
   }
   close(file);
   unlink(path);
   size_t count = 0;
-  for (size_t at = all.find(aText); at != std::string::npos;
-       at = all.find(aText, at + 1)) {
+  for (size_t at = output.find(aText); at != std::string::npos;
+       at = output.find(aText, at + 1)) {
     count++;
   }
   return count;
@@ -40,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("a line is one JSON object, whatever its fields hold")
+TEST_CASE("a log line is one JSON object whatever bytes its fields contain")
 {
   const std::string values[] = {
     "plain",       "a \"quoted\" one", "back\\slash",       "two\nlines",
@@ -61,13 +62,13 @@
   }
 }
 
-TEST_CASE("under load the endings of jobs are still logged")
+TEST_CASE("progress events of jobs do not crowd out the endings under load")
 {
-  // An entry takes 250 jobs a second, with several lines for each. If the
-  // first lines of the second used up the budget, operators would not find how
-  // a job ended that a user complains of.
+  // An entry gets 250 jobs per second and logs several lines for each. If the
+  // progress events at the start of a second exhausted the limit, the endings
+  // would be dropped, and operators could not find out how a job ended.
   log_sink log("edge-1", severity::Info);
-  size_t endings = LinesWith("job_decided", [&] {
+  size_t endings = CountOccurrences("job_decided", [&] {
     for (int i = 0; i < 250; i++) {
       for (int n = 0; n < 6; n++) {
         log.Emit(event_code::TasksPlaced, { { "job", std::to_string(i) } });
