--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -30,6 +30,6 @@
       echo "$side $site $day $seed"
     done
   done
-done | play_all "ablation: one mechanism switched off"
+done | run_all "ablation: one mechanism switched off"
 collect_journal all $mechanisms
 python3 "$root/scripts/compare_reports.py" "$work" all
--- a/scripts/bench_trees.sh
+++ b/scripts/bench_trees.sh
@@ -33,17 +33,17 @@
   (cd "$work/$1" && "$bench" build >/dev/null)
 }
 
-play_day() { # SIDE SITE DAY SEED WHY
+run_day() { # SIDE SITE DAY SEED WHY
   local name="$work/$1--$3--$4"
   (cd "$work/$1" && "$bench" run "$2" "$3" --seed "$4" \
     --report "$name.json" --why "$5" ${FLAGS:-} >"$name.log" 2>&1) ||
     echo "failed: $1 $3 $4: $(tail -1 "$name.log")" >&2
 }
-export -f play_day
+export -f run_day
 
 # Runs a day for each line SIDE SITE DAY SEED of standard input.
-play_all() { # WHY
-  why=$1 xargs -P "${JOBS:-2}" -L 1 bash -c 'play_day "$@" "$why"' play_day
+run_all() { # WHY
+  why=$1 xargs -P "${JOBS:-2}" -L 1 bash -c 'run_day "$@" "$why"' run_day
 }
 
 # Copies the journal entries of all runs into the repository.
--- a/scripts/binding.py
+++ b/scripts/binding.py
@@ -47,18 +47,18 @@
 
 def endings_by_window(events):
     """Returns the number of endings and refusals by window and reason."""
-    found = collections.defaultdict(collections.Counter)
+    counts = collections.defaultdict(collections.Counter)
     for time, _, event in events:
         window = int(time // WINDOW_S * WINDOW_S)
         if event["name"] == "job_decided":
             late = "" if event["in_objective"] == "yes" else ", late"
             reason = f": {event['reason']}" if event["reason"] else ""
-            found[window][f"{event['ending']}{reason}{late}"] += 1
+            counts[window][f"{event['ending']}{reason}{late}"] += 1
         elif event["name"] == "job_refused" and event.get("code") != "overloaded":
-            found[window][f"not accepted: {event['reason'][:60]}"] += 1
+            counts[window][f"not accepted: {event['reason'][:60]}"] += 1
         elif event["name"] == "job_cancelled":
-            found[window][f"withdrawn: {event['reason']}"] += 1
-    return found
+            counts[window][f"withdrawn: {event['reason']}"] += 1
+    return counts
 
 
 def total_loss(report):
@@ -136,16 +136,16 @@
 
     bounds = bound_of_windows(report, lost_at, back_at)
     endings = endings_by_window(events)
-    losses = sorted(report["windows"], key=lambda one: (1 - one["worth"]) * one["n"],
+    losses = sorted(report["windows"], key=lambda window: (1 - window["worth"]) * window["n"],
                     reverse=True)
-    whole = sum((1 - one["worth"]) * one["n"] for one in losses) or 1
+    total_loss_sum = sum((1 - window["worth"]) * window["n"] for window in losses) or 1
     print("\nwindows that lost most: jobs, in time, late, refused, failed, worth, "
           "bound, share of the loss")
-    for one in losses[:5]:
-        start = float(one["name"])
-        share = (1 - one["worth"]) * one["n"] / whole
-        print(f"  {start:4.0f} s {one['n']:6} {one['in_aim']:6} {one['late']:6} "
-              f"{one['refused']:6} {one['failed']:6} {one['worth']:7.3f} "
+    for window in losses[:5]:
+        start = float(window["name"])
+        share = (1 - window["worth"]) * window["n"] / total_loss_sum
+        print(f"  {start:4.0f} s {window['n']:6} {window['in_aim']:6} {window['late']:6} "
+              f"{window['refused']:6} {window['failed']:6} {window['worth']:7.3f} "
               f"{bounds[start]:7.3f} {share:6.2f}")
         for reason, count in endings[int(start)].most_common(8):
             print(f"         {count:6}  {reason}")
--- a/scripts/check_chaos.py
+++ b/scripts/check_chaos.py
@@ -37,13 +37,14 @@
         broken.append(f"{answered} answers to {jobs} jobs")
     print(f"faults {faults}, jobs {jobs}, answers {answered}, "
           f"starts {sum(starts.values())}, {dict(states)}")
-    for text in broken[:20]:
-        print("BROKEN", text)
+    for violation in broken[:20]:
+        print("BROKEN", violation)
     print("broken promises:", len(broken))
     sys.exit(1 if broken else 0)
 
 
 def check_answer(key, body, tasks, starts, states, broken):
+    """Counts the answer's state and adds violated guarantees to `broken`."""
     state = body.get("state", "error " + body.get("error", {}).get("code", ""))
     states[state] += 1
     if state not in ("complete", "failed"):
@@ -56,11 +57,11 @@
         if task["outcome"] == "succeeded":
             succeeded += 1
             if json.loads(task["output"]) != {"done": name}:
-                broken.append(f"{name} carries {task['output']}")
+                broken.append(f"{name} has the output {task['output']}")
             if starts[name] != 1:
                 broken.append(f"{name} succeeded with {starts[name]} starts")
         elif task["run"] == "not_run" and starts[name] > 0:
-            broken.append(f"{name} is said not to have run")
+            broken.append(f"{name} is reported as not run but was started")
     if (state == "complete") != (succeeded == tasks):
         broken.append(f"{key} is {state} with {succeeded} successes")
 
--- a/scripts/compare.sh
+++ b/scripts/compare.sh
@@ -21,6 +21,6 @@
   for day in ${*:-$(standard_days "$site")}; do
     printf '%s\n' "a $site $day $seed" "b $site $day $seed"
   done
-done | play_all "${WHY:-compare $first $second}"
+done | run_all "${WHY:-compare $first $second}"
 collect_journal a b
 python3 "$root/scripts/compare_reports.py" "$work" a
--- a/scripts/compare_reports.py
+++ b/scripts/compare_reports.py
@@ -14,15 +14,15 @@
 
 def read_reports(folder):
     """Returns worth, worst windows and broken rules by side, then (day, seed)."""
-    read = collections.defaultdict(dict)
+    figures = collections.defaultdict(dict)
     for path in glob.glob(os.path.join(folder, "*--*--*.json")):
         side, day, seed = os.path.basename(path)[:-5].split("--")
         with open(path, encoding="utf-8") as file:
             report = json.load(file)
         windows = dict((part[0], part[2]) for part in report["parts"])
         broken = ",".join(sorted(report["breaks"])) or report["fault"] or ""
-        read[side][day, seed] = (report["G"], windows.get("worst windows") or 0, broken)
-    return read
+        figures[side][day, seed] = (report["G"], windows.get("worst windows") or 0, broken)
+    return figures
 
 
 def print_pairs(name, other, base):
@@ -43,24 +43,24 @@
 
 def print_means(name, gains):
     """Prints the mean gain over all pairs and by day."""
-    every = [gain for some in gains.values() for gain in some]
-    if not every:
+    all_gains = [gain for day_gains in gains.values() for gain in day_gains]
+    if not all_gains:
         return
-    days = "  ".join(f"{day} {statistics.mean(some):+.3f}"
-                     for day, some in sorted(gains.items()))
-    spread = statistics.stdev(every) if len(every) > 1 else 0.0
-    print(f"{name:16} mean {statistics.mean(every):+.4f}, spread of a pair "
-          f"{spread:.4f}, {len(every)} pairs: {days}")
+    days = "  ".join(f"{day} {statistics.mean(day_gains):+.3f}"
+                     for day, day_gains in sorted(gains.items()))
+    spread = statistics.stdev(all_gains) if len(all_gains) > 1 else 0.0
+    print(f"{name:16} mean {statistics.mean(all_gains):+.4f}, spread of a pair "
+          f"{spread:.4f}, {len(all_gains)} pairs: {days}")
 
 
 def main():
     folder, base = sys.argv[1:]
-    read = read_reports(folder)
+    figures = read_reports(folder)
     print("side, day, seed, worth there and here, gain, worst windows of both")
     means = {}
-    for side in sorted(read):
+    for side in sorted(figures):
         if side != base:
-            means[side] = print_pairs(side, read[side], read[base])
+            means[side] = print_pairs(side, figures[side], figures[base])
     for side, gains in means.items():
         print_means(side, gains)
 
