--- a/Makefile
+++ b/Makefile
@@ -39,7 +39,7 @@
 
 programs: $(PROGRAMS) $(BUILD)/cactusmast-platform-load
 
-# What deploy/system.toml runs.
+# The programs that deploy/system.toml runs.
 platform-programs: $(BUILD)/cactusmast-coordinator $(BUILD)/cactusmast-executor
 
 deps:
@@ -96,13 +96,13 @@
 $(BUILD)/cactusmast-test: $(TEST_OBJECTS) $(PLATFORM_OBJECTS) $(SHELL_LIB) $(CORE_LIB)
 	@$(CXX) $(LDFLAGS) $^ $(SHELL_LIBS) -lrapidcheck -o $@
 
-# Every test; the last line counts them.
+# Runs all tests; the last line of the output counts them.
 test: deps
 	@$(MAKE) --no-print-directory -j$(PROCESSORS) programs platform-programs \
 	  $(BUILD)/cactusmast-test
 	@scripts/run_tests.sh $(BUILD)
 
-# Our own sources; generated/ keeps its generator's form.
+# All sources but generated/, which keeps the format of its generator.
 OWN_SOURCES := $(wildcard cactusmast/*.cc \
   cactusmast/*.h cactusmast/testing/*.cc cactusmast/testing/*.h shell/*.cc \
   shell/*.h util/*.h cmd/*.cc cmd/*.h platform/*.cc \
@@ -128,7 +128,8 @@
 	  (cat $@.err; exit 1)
 	@touch $@
 
-# The library's tests under AddressSanitizer and UBSan, with fewer schedules.
+# Runs the library's tests under AddressSanitizer and UBSan, with fewer random
+# schedules.
 sanitize:
 	@$(MAKE) --no-print-directory BUILD=$(BUILD)/sanitize OPT="-O1 -g" \
 	  SANITIZE="-fsanitize=address,undefined -fno-sanitize-recover=all" \
@@ -157,7 +158,7 @@
   $(BUILD)/obj/cactusmast/testing/fake_server.o $(CORE_LIB)
 	@$(CXX) $(LDFLAGS) $^ $(CORE_LIBS) -o $@
 
-# All measurements, as tables and as JSON in results/. Not part of the verdict.
+# Runs all benchmarks; prints tables and writes JSON to results/. Not part of CI.
 bench: deps
 	@$(MAKE) --no-print-directory programs $(BENCH_PROGRAMS)
 	@mkdir -p results
@@ -168,15 +169,16 @@
 	@cat results/path.json
 	@scripts/measure_scale.sh $(BUILD) results/processes.json
 
-# Plots of results/policy.json.
+# Plots results/policy.json.
 plots:
 	@scripts/plot.sh results
 
-# Ten minutes of faults against real processes.
+# Injects faults into real processes for SECONDS, by default 600.
 chaos: programs
 	@scripts/chaos.sh $(BUILD) $(or $(SECONDS),600) $(or $(SEED),1)
 
-# Random schedules from SEED on, until one breaks a promise or COUNT is done.
+# Runs random schedules of faults with COUNT seeds from SEED on, until one
+# breaks a guarantee.
 soak: $(BUILD)/cactusmast-test
 	@CACTUSMAST_SEED=$(or $(SEED),1) CACTUSMAST_SOAK=$(or $(COUNT),1000000) \
 	  $(BUILD)/cactusmast-test -tc="random schedules of faults break*"
