--- a/standins/backend_server_main.cc
+++ b/standins/backend_server_main.cc
@@ -39,8 +39,8 @@
   --record=FILE       Append the name of each started task to FILE.
 )";
 
-constexpr size_t kMaxBody = 8u << 20;
-constexpr guint kRenewMs = 500;
+constexpr size_t kMaxBodyBytes = 8u << 20;
+constexpr guint kAnnounceIntervalMs = 500;
 
 class backend_standin : public daemon_loop
 {
@@ -49,7 +49,7 @@
     : mArguments(std::move(aArguments))
     , mClient(4, 2000)
     , mSpeed(std::stod(mArguments["--speed"].asString()))
-    , mFail(std::stod(mArguments["--fail"].asString()))
+    , mFailureShare(std::stod(mArguments["--fail"].asString()))
   {
     if (mArguments["--record"]) {
       mRecord.open(mArguments["--record"].asString(), std::ios::app);
@@ -58,15 +58,16 @@
 
   void Open()
   {
-    mHttp = std::move(http_server::Create(
-                        mArguments["--listen"].asString(),
-                        kMaxBody,
-                        [this](http_exchange& aOne) { OnRequest(aOne); },
-                        [](uint64_t) {})
-                        .Value());
+    mHttp =
+      std::move(http_server::Create(
+                  mArguments["--listen"].asString(),
+                  kMaxBodyBytes,
+                  [this](http_exchange& aExchange) { OnRequest(aExchange); },
+                  [](uint64_t) {})
+                  .Value());
     Announce();
     g_timeout_add(
-      kRenewMs,
+      kAnnounceIntervalMs,
       [](gpointer aData) -> gboolean {
         static_cast<backend_standin*>(aData)->Announce();
         return G_SOURCE_CONTINUE;
@@ -78,15 +79,15 @@
   void OnTick() override {}
   void OnDrain() override
   {
-    mLeaving = true;
-    Tell("/v1/withdraw", "{}");
+    mDraining = true;
+    PostToGuard("/v1/withdraw", "{}");
   }
   bool IsDrained() override { return mRunning == 0; }
   void OnAbort() override {}
 
 private:
   // The reply to one task; it is sent when its timer expires.
-  struct run
+  struct pending_reply
   {
     backend_standin* mSelf;
     uint64_t mExchange;
@@ -96,7 +97,7 @@
 
   void Announce()
   {
-    if (mLeaving) {
+    if (mDraining) {
       return;
     }
     json services = json::array();
@@ -112,10 +113,10 @@
                   { "cpus", mArguments["--cpus"].asLong() },
                   { "memory_mb", mArguments["--memory-mb"].asLong() },
                   { "accelerators", mArguments["--accelerators"].asLong() } };
-    Tell("/v1/announce", body.dump());
+    PostToGuard("/v1/announce", body.dump());
   }
 
-  void Tell(const std::string& aPath, const std::string& aBody)
+  void PostToGuard(const std::string& aPath, const std::string& aBody)
   {
     http_request request;
     request.mUrl = mArguments["--guard"].asString() + aPath;
@@ -129,7 +130,7 @@
       OnRun(aExchange);
     } else if (aExchange.Path() == "/counters") {
       json counters = { { "started", mStarted },
-                        { "repeated", mRepeated },
+                        { "repeated", mRepeatedStarts },
                         { "running", mRunning },
                         { "over_slots", mOverSlots } };
       mHttp->Answer(aExchange.Id(), { 200, counters.dump() });
@@ -142,45 +143,46 @@
   {
     std::string task = aExchange.Header("X-Task");
     mStarted++;
-    mRepeated += ++mSeen[task] > 1 ? 1 : 0;
+    mRepeatedStarts += ++mStartCounts[task] > 1 ? 1 : 0;
     if (mRecord.is_open()) {
       mRecord << task << std::endl;
     }
     json body = json::parse(aExchange.Body(), nullptr, false);
     double sleepMs = body.is_object() ? body.value("sleep_ms", 0.0) : 0.0;
-    bool fails = g_random_double() < mFail ||
+    bool fails = g_random_double() < mFailureShare ||
                  (body.is_object() && body.value("fail", false));
     mRunning++;
     mOverSlots += mRunning > uint32_t(mArguments["--slots"].asLong()) ? 1 : 0;
-    auto* planned = new run{ this,
-                             aExchange.Id(),
-                             fails ? "{\"error\":\"asked to fail\"}"
-                                   : "{\"done\":\"" + task + "\"}",
-                             fails ? 500 : 200 };
+    auto* pending = new pending_reply{ this,
+                                       aExchange.Id(),
+                                       fails ? "{\"error\":\"asked to fail\"}"
+                                             : "{\"done\":\"" + task + "\"}",
+                                       fails ? 500 : 200 };
     g_timeout_add(
       guint(fails ? 0 : sleepMs / mSpeed),
       [](gpointer aData) -> gboolean {
-        std::unique_ptr<run> due(static_cast<run*>(aData));
-        due->mSelf->mRunning--;
-        due->mSelf->mHttp->Answer(due->mExchange,
-                                  { due->mStatus, due->mOutput });
+        std::unique_ptr<pending_reply> pending(
+          static_cast<pending_reply*>(aData));
+        pending->mSelf->mRunning--;
+        pending->mSelf->mHttp->Answer(pending->mExchange,
+                                      { pending->mStatus, pending->mOutput });
         return G_SOURCE_REMOVE;
       },
-      planned);
+      pending);
   }
 
   std::map<std::string, docopt::value> mArguments;
   http_client mClient;
   std::unique_ptr<http_server> mHttp;
-  std::map<std::string, uint32_t> mSeen; // starts of each task
-  std::ofstream mRecord;                 // closed without --record
+  std::map<std::string, uint32_t> mStartCounts; // starts of each task
+  std::ofstream mRecord;                        // closed without --record
   double mSpeed;
-  double mFail; // share of tasks, 0 to 1
+  double mFailureShare; // share of tasks, 0 to 1
   uint64_t mStarted = 0;
-  uint64_t mRepeated = 0;  // starts of tasks that had started before
-  uint64_t mOverSlots = 0; // starts while all slots were in use
+  uint64_t mRepeatedStarts = 0; // starts of tasks that had started before
+  uint64_t mOverSlots = 0;      // starts while all slots were in use
   uint32_t mRunning = 0;
-  bool mLeaving = false;
+  bool mDraining = false;
 };
 
 } // namespace
--- a/standins/load_main.cc
+++ b/standins/load_main.cc
@@ -77,7 +77,8 @@
       start = comma + 1;
     }
     mJobs = std::min(kMaxJobs, mArguments["--jobs"].asLong());
-    mPatience = std::chrono::milliseconds(mArguments["--patience-ms"].asLong());
+    mCallerTimeout =
+      std::chrono::milliseconds(mArguments["--patience-ms"].asLong());
     if (mArguments["--history"].isString()) {
       mHistory.open(mArguments["--history"].asString(), std::ios::app);
     }
@@ -89,20 +90,20 @@
   {
     mStarted = Now();
     if (mArguments["bare"].asBool()) {
-      long wanted = mArguments["--concurrency"].asLong();
-      for (long i = 0; i < wanted; i++) {
+      long concurrency = mArguments["--concurrency"].asLong();
+      for (long i = 0; i < concurrency; i++) {
         SendBare();
       }
     } else {
-      Schedule();
+      ScheduleNextJob();
     }
     g_main_loop_run(mLoop);
     Report();
-    return mFailed == 0 ? 0 : 1;
+    return mNotComplete == 0 ? 0 : 1;
   }
 
 private:
-  double Number(const char* aName)
+  double NumberOption(const char* aName)
   {
     return std::stod(mArguments[aName].asString());
   }
@@ -122,46 +123,47 @@
     request.mMethod = "GET";
     request.mUrl = NextEntry() + "/healthz";
     mClient.Send(request, [this](const http_response& aResponse) {
-      mFailed += aResponse.mStatus == 200 ? 0 : 1;
+      mNotComplete += aResponse.mStatus == 200 ? 0 : 1;
       SendBare();
-      Done();
+      OnFinished();
     });
   }
 
-  job_plan MakeJob()
+  job_plan PlanJob()
   {
-    double least = std::log(std::max(0.01, Number("--min-ms")));
-    double most = std::log(std::max(0.01, Number("--max-ms")));
-    std::uniform_real_distribution<double> run(least, most);
-    job_plan made;
+    double minLog = std::log(std::max(0.01, NumberOption("--min-ms")));
+    double maxLog = std::log(std::max(0.01, NumberOption("--max-ms")));
+    std::uniform_real_distribution<double> run(minLog, maxLog);
+    job_plan plan;
     json body = { { "profile", mArguments["--profile"].asString() },
                   { "tasks", json::array() } };
     for (long i = 0; i < mArguments["--tasks"].asLong(); i++) {
       double ms = std::exp(run(mRandom));
-      made.mIdealMs = std::max(made.mIdealMs, ms / Number("--best-speed"));
+      plan.mIdealMs =
+        std::max(plan.mIdealMs, ms / NumberOption("--best-speed"));
       body["tasks"].push_back({ { "sleep_ms", ms } });
     }
-    made.mBody = body.dump();
-    return made;
+    plan.mBody = body.dump();
+    return plan;
   }
 
   // Only the next job has a timer, since the main loop visits every timer on
   // each turn.
-  void Schedule()
+  void ScheduleNextJob()
   {
     if (mSent >= mJobs) {
       return;
     }
-    mNextSend +=
-      std::exponential_distribution<double>(Number("--rate"))(mRandom);
-    double wait = mNextSend - double((Now() - mStarted).count()) / 1e6;
+    mNextSendS +=
+      std::exponential_distribution<double>(NumberOption("--rate"))(mRandom);
+    double wait = mNextSendS - double((Now() - mStarted).count()) / 1e6;
     g_timeout_add_full(
       G_PRIORITY_HIGH,
       guint(std::max(0.0, wait) * 1000),
       [](gpointer aData) -> gboolean {
         auto* self = static_cast<load_run*>(aData);
         self->SendJob(self->mSent++);
-        self->Schedule();
+        self->ScheduleNextJob();
         return G_SOURCE_REMOVE;
       },
       this,
@@ -170,7 +172,7 @@
 
   void SendJob(long aNumber)
   {
-    job_plan plan = MakeJob();
+    job_plan plan = PlanJob();
     std::string key =
       mArguments["--prefix"].asString() + "-" + std::to_string(aNumber);
     Post(key, plan, Now());
@@ -178,70 +180,74 @@
 
   // After a lost connection or a retryable error OnReply resubmits the job with
   // the same key, which goes to the next entry.
-  void Post(const std::string& aKey, const job_plan& aPlan, instant aSince)
+  void Post(const std::string& aKey,
+            const job_plan& aPlan,
+            instant aFirstSentAt)
   {
     http_request request;
     request.mUrl = NextEntry() + "/v1/jobs?wait_ms=60000";
     request.mBody = aPlan.mBody;
     request.mHeaders = { { "Idempotency-Key", aKey } };
     mClient.Send(request, [=](const http_response& aResponse) {
-      OnReply(aKey, aPlan, aSince, aResponse);
+      OnReply(aKey, aPlan, aFirstSentAt, aResponse);
     });
   }
 
   void OnReply(const std::string& aKey,
                const job_plan& aPlan,
-               instant aSince,
+               instant aFirstSentAt,
                const http_response& aResponse)
   {
     json body = json::parse(aResponse.mBody, nullptr, false);
     std::string state = body.is_object() ? body.value("state", "") : "";
     bool decided = state == "complete" || state == "failed";
-    if (!decided && Now() - aSince < mPatience) {
-      mRepeated++;
+    if (!decided && Now() - aFirstSentAt < mCallerTimeout) {
+      mResubmissions++;
       json error =
         body.is_object() ? body.value("error", json::object()) : json::object();
-      Repeat(aKey, aPlan, aSince, error.value("retry_after_ms", 0u));
+      Resubmit(aKey, aPlan, aFirstSentAt, error.value("retry_after_ms", 0u));
       return;
     }
     if (mHistory.is_open()) {
       mHistory << aKey << " " << aResponse.mBody << std::endl;
     }
-    mFailed += state == "complete" ? 0 : 1;
-    double ms = double((Now() - aSince).count()) / 1000;
-    mResponses.push_back(ms);
+    mNotComplete += state == "complete" ? 0 : 1;
+    double ms = double((Now() - aFirstSentAt).count()) / 1000;
+    mResponseTimesMs.push_back(ms);
     if (aPlan.mIdealMs > 0) {
       mRatios.push_back(ms / aPlan.mIdealMs);
     }
-    Done();
+    OnFinished();
   }
 
-  void Repeat(const std::string& aKey,
-              const job_plan& aPlan,
-              instant aSince,
-              uint32_t aAfterMs)
+  void Resubmit(const std::string& aKey,
+                const job_plan& aPlan,
+                instant aFirstSentAt,
+                uint32_t aDelayMs)
   {
-    struct later
+    struct resubmission
     {
       load_run* mSelf;
       std::string mKey;
       job_plan mPlan;
-      instant mSince;
+      instant mFirstSentAt;
     };
-    constexpr guint kPauseMs = 250;
+    constexpr guint kMinDelayMs = 250;
     g_timeout_add(
-      std::max(kPauseMs, guint(aAfterMs)),
+      std::max(kMinDelayMs, guint(aDelayMs)),
       [](gpointer aData) -> gboolean {
-        std::unique_ptr<later> due(static_cast<later*>(aData));
-        due->mSelf->Post(due->mKey, due->mPlan, due->mSince);
+        std::unique_ptr<resubmission> resubmit(
+          static_cast<resubmission*>(aData));
+        resubmit->mSelf->Post(
+          resubmit->mKey, resubmit->mPlan, resubmit->mFirstSentAt);
         return G_SOURCE_REMOVE;
       },
-      new later{ this, aKey, aPlan, aSince });
+      new resubmission{ this, aKey, aPlan, aFirstSentAt });
   }
 
-  void Done()
+  void OnFinished()
   {
-    if (++mDone == mJobs) {
+    if (++mFinished == mJobs) {
       g_main_loop_quit(mLoop);
     }
   }
@@ -265,10 +271,10 @@
     json report = { { "jobs", mJobs },
                     { "seconds", seconds },
                     { "per_second", double(mJobs) / seconds },
-                    { "not_complete", mFailed },
-                    { "repeated", mRepeated },
-                    { "response_p50_ms", Quantile(mResponses, 0.5) },
-                    { "response_p99_ms", Quantile(mResponses, 0.99) },
+                    { "not_complete", mNotComplete },
+                    { "repeated", mResubmissions },
+                    { "response_p50_ms", Quantile(mResponseTimesMs, 0.5) },
+                    { "response_p99_ms", Quantile(mResponseTimesMs, 0.99) },
                     { "ratio_mean",
                       mRatios.empty() ? 0 : sum / double(mRatios.size()) },
                     { "ratio_p50", Quantile(mRatios, 0.5) },
@@ -284,15 +290,15 @@
   std::vector<std::string> mEntries;
   size_t mNextEntry = 0;
   long mJobs = 0;
-  duration mPatience{};
+  duration mCallerTimeout{};
   long mSent = 0;
-  double mNextSend = 0; // seconds from the start
-  long mDone = 0;
-  long mFailed = 0; // requests without success, jobs that are not complete
-  long mRepeated = 0;
+  double mNextSendS = 0; // seconds from the start
+  long mFinished = 0;
+  long mNotComplete = 0; // requests without success, jobs that are not complete
+  long mResubmissions = 0;
   instant mStarted{};
-  std::vector<double> mResponses; // response times in ms
-  std::vector<double> mRatios;    // response time over ideal
+  std::vector<double> mResponseTimesMs; // response times in ms
+  std::vector<double> mRatios;          // response time over ideal
 };
 
 } // namespace
--- a/standins/platform_load_main.cc
+++ b/standins/platform_load_main.cc
@@ -43,23 +43,23 @@
                  time [default: 0].
 )";
 
-constexpr char kEntry[] = "127.0.0.1:7702";
-constexpr char kFront[] = "http://127.0.0.1:8701";
-constexpr char kStore[] = "127.0.0.1:8703";
+constexpr char kEntryAddress[] = "127.0.0.1:7702";
+constexpr char kFrontUrl[] = "http://127.0.0.1:8701";
+constexpr char kStoreAddress[] = "127.0.0.1:8703";
 constexpr char kConfig[] =
   R"({"version":1,"routes":[{"name":"r","host":"load.example","prefix":"/j/",)"
   R"("timeoutMs":1500,"targetDurationMs":60,"maxAttempts":3,"stretch":1.6,)"
   R"("service":"s"}],"services":[{"name":"s"}]})";
-constexpr uint32_t kTasks = 3;
-constexpr uint32_t kWorkMs = 150;
+constexpr uint32_t kTasksPerJob = 3;
+constexpr uint32_t kTaskRunMs = 150;
 
-class no_events : public event_sink
+class null_event_sink : public event_sink
 {
 public:
   void Emit(event_code, std::vector<event_field>) override {}
 };
 
-// A backend server whose tasks end kWorkMs after their start.
+// A backend server whose tasks end kTaskRunMs after their start.
 class timed_runner : public backend_runner
 {
 public:
@@ -68,58 +68,59 @@
   {
   }
 
-  void Start(const start_request& aOrder) override
+  void Start(const start_request& aRequest) override
   {
-    mRunning[aOrder.mTask] = { aOrder.mRunNumber,
-                               Now() + milliseconds(kWorkMs) };
+    mRunning[aRequest.mTask] = { aRequest.mRunNumber,
+                                 Now() + milliseconds(kTaskRunMs) };
     (*mExecutor)
-      ->OnStartReply(aOrder.mTask,
-                     aOrder.mRunNumber,
+      ->OnStartReply(aRequest.mTask,
+                     aRequest.mRunNumber,
                      start_result::Started,
                      ToClock(Now()),
                      Now());
   }
-  void Stop(const stop_request& aOrder) override
+  void Stop(const stop_request& aRequest) override
   {
-    mRunning.erase(aOrder.mTask);
-    (*mExecutor)->OnStopReply(aOrder.mTask, aOrder.mRunNumber, true, Now());
+    mRunning.erase(aRequest.mTask);
+    (*mExecutor)->OnStopReply(aRequest.mTask, aRequest.mRunNumber, true, Now());
   }
-  void Poll(const poll_request& aOrder) override
+  void Poll(const poll_request& aRequest) override
   {
-    mLook = aOrder;
-    mLookEnds = Now() + milliseconds(aOrder.mWaitMs);
+    mPoll = aRequest;
+    mPollDeadline = Now() + milliseconds(aRequest.mWaitMs);
   }
   void ExpectInstance(const std::string&) override {}
 
   // Ends the tasks that are due. Replies to the long poll if a task has ended
   // or the poll's wait is over.
-  void Turn()
+  void Tick()
   {
     instant now = Now();
-    for (auto at = mRunning.begin(); at != mRunning.end();) {
-      if (at->second.second > now) {
-        ++at;
+    for (auto task = mRunning.begin(); task != mRunning.end();) {
+      if (task->second.second > now) {
+        ++task;
         continue;
       }
       mEnded.push_back(
-        { ++mEnds, at->first, at->second.first, end_kind::Done });
-      at = mRunning.erase(at);
+        { ++mLastEnd, task->first, task->second.first, end_kind::Done });
+      task = mRunning.erase(task);
     }
-    bool answers = mLook.mNumber != 0 && (!mEnded.empty() || now >= mLookEnds);
-    if (!answers) {
+    bool replyDue =
+      mPoll.mNumber != 0 && (!mEnded.empty() || now >= mPollDeadline);
+    if (!replyDue) {
       return;
     }
-    server_snapshot seen;
-    seen.mClockMs = ToClock(now);
-    seen.mStartTimeMs = 1;
-    for (const auto& [task, run] : mRunning) {
-      seen.mRunning.push_back({ task, run.first, 1 });
+    server_snapshot snapshot;
+    snapshot.mClockMs = ToClock(now);
+    snapshot.mStartTimeMs = 1;
+    for (const auto& [key, run] : mRunning) {
+      snapshot.mRunning.push_back({ key, run.first, 1 });
     }
-    seen.mEnded = std::move(mEnded);
+    snapshot.mEnded = std::move(mEnded);
     mEnded.clear();
-    uint64_t number = mLook.mNumber;
-    mLook = {};
-    (*mExecutor)->OnPollReply(number, poll_result::Ok, seen, now);
+    uint64_t number = mPoll.mNumber;
+    mPoll = {};
+    (*mExecutor)->OnPollReply(number, poll_result::Ok, snapshot, now);
   }
 
 private:
@@ -129,9 +130,9 @@
   // Run number and end time of each task.
   std::map<task_key, std::pair<uint32_t, instant>> mRunning;
   std::vector<ended_task> mEnded;
-  uint64_t mEnds = 0;
-  poll_request mLook; // unanswered poll; its number is 0 if there is none
-  instant mLookEnds{};
+  uint64_t mLastEnd = 0;
+  poll_request mPoll; // unanswered poll; its number is 0 if there is none
+  instant mPollDeadline{};
 };
 
 class loaded_executor
@@ -140,8 +141,8 @@
 {
 public:
   explicit loaded_executor(uint32_t aIndex)
-    : mRunner(&mSelf)
-    , mExecutor(1, "s", "a", *this, mRunner, mEvents)
+    : mRunner(&mExecutorPointer)
+    , mExecutor(1, "s", "a", *this, mRunner, mEventSink)
   {
     transport_options options;
     // Each executor listens on its own address in 127.0.0.0/8, since all use
@@ -156,16 +157,16 @@
     options.mSelf.mAddress = options.mListen;
     options.mSelf.mDataCenter = "a";
     mTransport =
-      std::move(peer_transport::Create(options, *this, mEvents).Value());
-    server_announcement said;
-    said.mId = "i-" + std::to_string(aIndex);
-    said.mService = "s";
-    said.mStartTimeMs = 1;
-    said.mSequence = 1;
-    said.mCapacity = { 32000, 131072, 0 };
-    said.mLabels = { "a", "r1-3" };
-    mExecutor.OnAnnouncement(said, Now());
-    mTransport->Connect(kEntry);
+      std::move(peer_transport::Create(options, *this, mEventSink).Value());
+    server_announcement announcement;
+    announcement.mId = "i-" + std::to_string(aIndex);
+    announcement.mService = "s";
+    announcement.mStartTimeMs = 1;
+    announcement.mSequence = 1;
+    announcement.mCapacity = { 32000, 131072, 0 };
+    announcement.mLabels = { "a", "r1-3" };
+    mExecutor.OnAnnouncement(announcement, Now());
+    mTransport->Connect(kEntryAddress);
   }
 
   void OnPeerUp(peer_id aPeer, const peer_identity& aIdentity) override
@@ -175,7 +176,7 @@
   void OnPeerDown(peer_id aPeer) override
   {
     mExecutor.OnEntryDown(aPeer, Now());
-    mTransport->Connect(kEntry);
+    mTransport->Connect(kEntryAddress);
   }
   void OnPeerMessage(peer_id aPeer, const message& aMessage) override
   {
@@ -190,69 +191,69 @@
       mExecutor.OnHeartbeat(aPeer, Now());
     }
   }
-  void Report(peer_id aEntry, const wire::server_report_msg& aSaid) override
+  void Report(peer_id aEntry, const wire::server_report_msg& aReport) override
   {
-    mTransport->Send(aEntry, MakeMessage(aSaid));
+    mTransport->Send(aEntry, MakeMessage(aReport));
   }
   void Close(peer_id aEntry) override { mTransport->Close(aEntry); }
 
-  void Turn()
+  void Tick()
   {
-    mRunner.Turn();
+    mRunner.Tick();
     mExecutor.Tick(Now());
     mTransport->Flush();
     mTransport->Sweep();
   }
-  uint64_t Sent() const { return mTransport->Counters().mMessagesOut; }
+  uint64_t MessagesSent() const { return mTransport->Counters().mMessagesOut; }
 
 private:
-  no_events mEvents;
-  task_executor* mSelf = &mExecutor;
+  null_event_sink mEventSink;
+  task_executor* mExecutorPointer = &mExecutor;
   timed_runner mRunner;
   task_executor mExecutor;
   std::unique_ptr<peer_transport> mTransport;
 };
 
 // The state of one run.
-struct load
+struct load_state
 {
   std::vector<std::unique_ptr<loaded_executor>> mExecutors;
   std::unique_ptr<http_server> mStore;
   http_client mCallers{ 64, 10000 };
-  double mRate = 0; // jobs a second; 0 before the load starts
-  double mOwed = 0; // jobs that are due and not sent yet
-  instant mLastTurn{};
+  double mJobsPerSecond = 0; // jobs a second; 0 before the load starts
+  double mDueJobs = 0;       // jobs that are due and not sent yet
+  instant mLastTick{};
   uint64_t mNextJob = 1;
-  std::vector<double> mTookMs;
-  uint64_t mOtherwise = 0; // replies without status 200
+  std::vector<double> mResponseTimesMs;
+  uint64_t mNotOk = 0; // replies without status 200
 };
 
 void
-AnswerStore(load* aLoad, http_exchange& aOne)
+AnswerStoreRequest(load_state* aState, http_exchange& aExchange)
 {
-  if (aOne.Path() == "/-/rows-feed") {
+  if (aExchange.Path() == "/-/rows-feed") {
     return; // rows never change, so the feed has nothing to send
   }
   gchar* value = g_base64_encode(reinterpret_cast<const guchar*>(kConfig),
                                  sizeof kConfig - 1);
   http_answer answer;
   json rows = json::array();
-  if (aOne.Query("table") == "op") {
+  if (aExchange.Query("table") == "op") {
     rows.push_back({ { "key", "config" }, { "value", value } });
   }
   g_free(value);
   answer.mBody = json{ { "rows", rows }, { "rowVersion", 1 } }.dump();
-  aLoad->mStore->Answer(aOne.Id(), answer);
+  aState->mStore->Answer(aExchange.Id(), answer);
 }
 
 void
-SubmitOne(load* aLoad)
+SubmitJob(load_state* aState)
 {
   char name[17];
   std::snprintf(
-    name, sizeof name, "%016llx", (unsigned long long)aLoad->mNextJob++);
+    name, sizeof name, "%016llx", (unsigned long long)aState->mNextJob++);
   http_request request;
-  request.mUrl = std::string(kFront) + "/j/" + name;
+  request.mUrl = std::string(kFrontUrl) + "/j/" + name;
   request.mHeaders = { { "Host", "load.example" },
                        { "X-Deadline-Ms", "8000" } };
   request.mIdempotent = true;
@@ -260,34 +261,36 @@
     { "spec", std::string(150, 'x') },
     { "bestEffort", true },
     { "steps",
-      { { { "count", kTasks },
+      { { { "count", kTasksPerJob },
           { "cpu", 3100 },
           { "memMb", 64 },
-          { "estimateMs", kWorkMs } } } }
+          { "estimateMs", kTaskRunMs } } } }
   }.dump();
   instant sent = Now();
-  aLoad->mCallers.Send(request, [aLoad, sent](const http_response& aResponse) {
-    if (aResponse.mStatus == 200) {
-      aLoad->mTookMs.push_back(double((Now() - sent).count()) / 1000);
-    } else {
-      aLoad->mOtherwise++;
-    }
-  });
+  aState->mCallers.Send(request,
+                        [aState, sent](const http_response& aResponse) {
+                          if (aResponse.mStatus == 200) {
+                            aState->mResponseTimesMs.push_back(
+                              double((Now() - sent).count()) / 1000);
+                          } else {
+                            aState->mNotOk++;
+                          }
+                        });
 }
 
 gboolean
-OnTurn(gpointer aData)
+OnLoadTimer(gpointer aData)
 {
-  auto* self = static_cast<load*>(aData);
-  for (auto& one : self->mExecutors) {
-    one->Turn();
+  auto* self = static_cast<load_state*>(aData);
+  for (auto& executor : self->mExecutors) {
+    executor->Tick();
   }
   instant now = Now();
-  double seconds = double((now - self->mLastTurn).count()) / 1e6;
-  self->mLastTurn = now;
-  self->mOwed += seconds * self->mRate;
-  for (; self->mOwed >= 1; self->mOwed--) {
-    SubmitOne(self);
+  double seconds = double((now - self->mLastTick).count()) / 1e6;
+  self->mLastTick = now;
+  self->mDueJobs += seconds * self->mJobsPerSecond;
+  for (; self->mDueJobs >= 1; self->mDueJobs--) {
+    SubmitJob(self);
   }
   return G_SOURCE_CONTINUE;
 }
@@ -303,30 +306,30 @@
   if (close == std::string::npos) {
     return 0;
   }
-  std::istringstream rest(text.substr(close + 1));
-  std::string skipped;
+  std::istringstream fields(text.substr(close + 1));
+  std::string ignored;
   constexpr int kFieldsBeforeUserTime = 11;
   for (int i = 0; i < kFieldsBeforeUserTime; i++) {
-    rest >> skipped;
+    fields >> ignored;
   }
   double user = 0;
   double system = 0;
-  rest >> user >> system;
+  fields >> user >> system;
   return (user + system) / double(sysconf(_SC_CLK_TCK));
 }
 
 uint64_t
-Reports(const load& aLoad)
+MessagesSent(const load_state& aState)
 {
   uint64_t sum = 0;
-  for (const auto& one : aLoad.mExecutors) {
-    sum += one->Sent();
+  for (const auto& executor : aState.mExecutors) {
+    sum += executor->MessagesSent();
   }
   return sum;
 }
 
 void
-Turn(double aSeconds)
+RunLoopFor(double aSeconds)
 {
   GMainLoop* loop = g_main_loop_new(nullptr, FALSE);
   g_timeout_add(
@@ -341,23 +344,26 @@
 }
 
 void
-Print(load* aLoad, double aSeconds, double aCpu, uint64_t aReports)
+Print(load_state* aState, double aSeconds, double aCpu, uint64_t aReports)
 {
-  std::vector<double>& took = aLoad->mTookMs;
-  std::sort(took.begin(), took.end());
-  auto at = [&took](double aShare) {
-    return took.empty() ? 0 : took[size_t(aShare * double(took.size() - 1))];
+  std::vector<double>& responseTimesMs = aState->mResponseTimesMs;
+  std::sort(responseTimesMs.begin(), responseTimesMs.end());
+  auto quantile = [&responseTimesMs](double aShare) {
+    return responseTimesMs.empty()
+             ? 0
+             : responseTimesMs[size_t(aShare *
+                                      double(responseTimesMs.size() - 1))];
   };
   std::printf("%zu executors, %.0f jobs/s of %u tasks: answered %zu, otherwise "
               "%llu, p50 %.1f ms, p99 %.1f ms, %.0f reports/s, coordinator "
               "%.4f core\n",
-              aLoad->mExecutors.size(),
-              aLoad->mRate,
-              kTasks,
-              took.size(),
-              (unsigned long long)aLoad->mOtherwise,
-              at(0.5),
-              at(0.99),
+              aState->mExecutors.size(),
+              aState->mJobsPerSecond,
+              kTasksPerJob,
+              responseTimesMs.size(),
+              (unsigned long long)aState->mNotOk,
+              quantile(0.5),
+              quantile(0.99),
               double(aReports) / aSeconds,
               aCpu / aSeconds);
 }
@@ -365,37 +371,39 @@
 int
 Run(std::map<std::string, docopt::value> aOptions)
 {
-  load self;
-  self.mStore =
-    std::move(http_server::Create(
-                kStore,
-                1u << 20,
-                [&self](http_exchange& aOne) { AnswerStore(&self, aOne); },
-                [](uint64_t) {})
-                .Value());
+  load_state self;
+  self.mStore = std::move(http_server::Create(
+                            kStoreAddress,
+                            1u << 20,
+                            [&self](http_exchange& aExchange) {
+                              AnswerStoreRequest(&self, aExchange);
+                            },
+                            [](uint64_t) {})
+                            .Value());
   for (long i = 0; i < aOptions["--executors"].asLong(); i++) {
     self.mExecutors.push_back(std::make_unique<loaded_executor>(uint32_t(i)));
   }
-  self.mLastTurn = Now();
-  g_timeout_add(2, &OnTurn, &self);
-  constexpr double kSettleSeconds = 2;
-  Turn(kSettleSeconds);
-  self.mRate = double(aOptions["--rate"].asLong());
-  Turn(1);
+  self.mLastTick = Now();
+  g_timeout_add(2, &OnLoadTimer, &self);
+  constexpr double kConnectSeconds = 2;
+  RunLoopFor(kConnectSeconds);
+  self.mJobsPerSecond = double(aOptions["--rate"].asLong());
+  RunLoopFor(1);
   long pid = aOptions["--pid"].asLong();
   double cpu = ProcessorSeconds(pid);
-  uint64_t reports = Reports(self);
+  uint64_t reports = MessagesSent(self);
   double seconds = double(aOptions["--seconds"].asLong());
-  Turn(seconds);
-  Print(&self, seconds, ProcessorSeconds(pid) - cpu, Reports(self) - reports);
+  RunLoopFor(seconds);
+  Print(
+    &self, seconds, ProcessorSeconds(pid) - cpu, MessagesSent(self) - reports);
   return 0;
 }
 
 } // namespace
 
 int
-main(int aCount, char** aWords)
+main(int aArgc, char** aArgv)
 {
-  auto options = docopt::docopt(kUsage, { aWords + 1, aWords + aCount });
+  auto options = docopt::docopt(kUsage, { aArgv + 1, aArgv + aArgc });
   return RunOrReport([&options] { return Run(options); });
 }
--- a/standins/platform_table_main.cc
+++ b/standins/platform_table_main.cc
@@ -30,7 +30,7 @@
   --sync-ms=N         Duration of a write to stable storage [default: 4].
 )";
 
-constexpr size_t kMaxBody = 64u << 20;
+constexpr size_t kMaxBodyBytes = 64u << 20;
 
 // A token bucket that holds the tokens of one second. Requests without a token
 // are refused, as by the platform.
@@ -43,7 +43,7 @@
   {
   }
 
-  bool Take()
+  bool TryTake()
   {
     instant now = Now();
     mTokens += double((now - mLast).count()) / 1e6 * mPerSecond;
@@ -69,31 +69,32 @@
 };
 
 // Faults that POST /control injects; the defaults are no faults.
-struct misbehaviour
+struct fault_settings
 {
-  bool mDown = false;    // every read and commit is refused
-  uint32_t mDelayMs = 0; // added to replies to reads and commits
-  double mLoseReply = 0; // share of commits whose reply is lost
+  bool mDown = false;         // every read and commit is refused
+  uint32_t mDelayMs = 0;      // added to replies to reads and commits
+  double mLostReplyShare = 0; // share of commits whose reply is lost
 };
 
 class table_standin : public daemon_loop
 {
 public:
   table_standin(double aWrites, double aReads, uint32_t aSyncMs)
-    : mWrites(aWrites)
-    , mReads(aReads)
+    : mWriteLimit(aWrites)
+    , mReadLimit(aReads)
     , mSyncMs(aSyncMs)
   {
   }
 
   void Open(const std::string& aListen)
   {
-    mHttp = std::move(http_server::Create(
-                        aListen,
-                        kMaxBody,
-                        [this](http_exchange& aOne) { OnRequest(aOne); },
-                        [](uint64_t) {})
-                        .Value());
+    mHttp =
+      std::move(http_server::Create(
+                  aListen,
+                  kMaxBodyBytes,
+                  [this](http_exchange& aExchange) { OnRequest(aExchange); },
+                  [](uint64_t) {})
+                  .Value());
   }
 
 protected:
@@ -111,7 +112,7 @@
     } else if (!body.is_object()) {
       AnswerNow(aExchange.Id(), 400, "{}");
     } else if (aExchange.Path() == "/control") {
-      Control(body);
+      SetFaults(body);
       AnswerNow(aExchange.Id(), 200, "{}");
     } else if (mFaults.mDown) {
       AnswerNow(aExchange.Id(), 503, "{}");
@@ -124,11 +125,11 @@
     }
   }
 
-  void Control(const json& aBody)
+  void SetFaults(const json& aBody)
   {
     mFaults.mDown = aBody.value("down", false);
     mFaults.mDelayMs = aBody.value("delay_ms", 0u);
-    mFaults.mLoseReply = aBody.value("lose_reply", 0.0);
+    mFaults.mLostReplyShare = aBody.value("lose_reply", 0.0);
   }
 
   std::string Counters() const
@@ -136,15 +137,15 @@
     json counters = { { "reads", mReadCount },
                       { "commits", mCommitCount },
                       { "rows_written", mRowsWritten },
-                      { "limited", mLimited },
+                      { "limited", mRateLimited },
                       { "rows", mRows.size() } };
     return counters.dump();
   }
 
   void OnRead(uint64_t aId, const json& aBody)
   {
-    if (!mReads.Take()) {
-      mLimited++;
+    if (!mReadLimit.TryTake()) {
+      mRateLimited++;
       AnswerNow(aId, 429, "{}");
       return;
     }
@@ -173,8 +174,8 @@
 
   void OnCommit(uint64_t aId, const json& aBody)
   {
-    if (!mWrites.Take()) {
-      mLimited++;
+    if (!mWriteLimit.TryTake()) {
+      mRateLimited++;
       AnswerNow(aId, 429, "{}");
       return;
     }
@@ -192,7 +193,7 @@
     for (const json& write : writes) {
       Apply(write);
     }
-    if (g_random_double() < mFaults.mLoseReply) {
+    if (g_random_double() < mFaults.mLostReplyShare) {
       return; // the writes took effect, but no reply is sent
     }
     AnswerLater(aId, 200, "{}", mSyncMs);
@@ -226,34 +227,35 @@
       AnswerNow(aId, aStatus, aBody);
       return;
     }
-    struct later
+    struct delayed_reply
     {
       table_standin* mSelf;
       uint64_t mId;
       http_answer mAnswer;
     };
-    auto* planned = new later{ this, aId, { aStatus, aBody } };
+    auto* delayed = new delayed_reply{ this, aId, { aStatus, aBody } };
     g_timeout_add(
       delay,
       [](gpointer aData) -> gboolean {
-        std::unique_ptr<later> due(static_cast<later*>(aData));
-        due->mSelf->mHttp->Answer(due->mId, due->mAnswer);
+        std::unique_ptr<delayed_reply> delayed(
+          static_cast<delayed_reply*>(aData));
+        delayed->mSelf->mHttp->Answer(delayed->mId, delayed->mAnswer);
         return G_SOURCE_REMOVE;
       },
-      planned);
+      delayed);
   }
 
-  rate_limit mWrites;
-  rate_limit mReads;
+  rate_limit mWriteLimit;
+  rate_limit mReadLimit;
   uint32_t mSyncMs;
-  misbehaviour mFaults;
+  fault_settings mFaults;
   std::unique_ptr<http_server> mHttp;
   std::map<std::string, stored_row> mRows;
   uint64_t mLastVersion = 0;
   uint64_t mReadCount = 0;
   uint64_t mCommitCount = 0;
   uint64_t mRowsWritten = 0;
-  uint64_t mLimited = 0; // requests refused by the rate limits
+  uint64_t mRateLimited = 0; // requests refused by the rate limits
 };
 
 } // namespace
