--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -17,7 +17,7 @@
 using namespace cactusmast::bench;
 using nlohmann::json;
 
-constexpr uint32_t kSeeds = 10;
+constexpr uint32_t kSeedCount = 10;
 
 // Ratios are response time over ideal response time.
 struct ratio_figures
@@ -45,7 +45,7 @@
         const run_result& aResult)
 {
   std::vector<double> ratios;
-  ratio_figures made;
+  ratio_figures figures;
   std::map<uint32_t, std::pair<double, double>> jobs; // start, end
   for (size_t i = 0; i < aWorkload.mTasks.size(); i++) {
     const model_task& task = aWorkload.mTasks[i];
@@ -54,7 +54,7 @@
       continue;
     }
     if (row.mFailed) {
-      made.mFailed++;
+      figures.mFailed++;
       continue;
     }
     ratios.push_back(row.mResponse / row.mIdeal);
@@ -63,16 +63,16 @@
     job.second = std::max(job.second, row.mEnd);
   }
   for (double ratio : ratios) {
-    made.mMean += ratio / double(ratios.size());
+    figures.mMean += ratio / double(ratios.size());
   }
   for (const auto& [number, job] : jobs) {
-    made.mMakespan += (job.second - job.first) / double(jobs.size());
+    figures.mMakespan += (job.second - job.first) / double(jobs.size());
   }
-  made.mP50 = Quantile(ratios, 0.5);
-  made.mP99 = Quantile(ratios, 0.99);
-  made.mP999 = Quantile(ratios, 0.999);
-  made.mWasted = double(aResult.mWasted) / double(aWorkload.mTasks.size());
-  return made;
+  figures.mP50 = Quantile(ratios, 0.5);
+  figures.mP99 = Quantile(ratios, 0.99);
+  figures.mP999 = Quantile(ratios, 0.999);
+  figures.mWasted = double(aResult.mWasted) / double(aWorkload.mTasks.size());
+  return figures;
 }
 
 // Prints the mean figures over all seeds for each policy, and the mean of their
@@ -83,7 +83,7 @@
   std::printf("\n%s, load %.0f%%, %u seeds\n",
               aBase.mName.c_str(),
               aBase.mLoad * 100,
-              kSeeds);
+              kSeedCount);
   std::printf("%-12s %7s %7s %7s %7s %9s %8s | %9s %9s\n",
               "policy",
               "mean",
@@ -96,32 +96,32 @@
               "p99/bnd");
   // For each seed, the lower mean and the lower p99 of the two clairvoyant
   // runs.
-  std::vector<ratio_figures> bounds(kSeeds);
+  std::vector<ratio_figures> bounds(kSeedCount);
   for (uint32_t p = 0; p < uint32_t(policy::Count); p++) {
     ratio_figures sum;
     double meanToBound = 0;
     double p99ToBound = 0;
-    for (uint32_t seed = 1; seed <= kSeeds; seed++) {
+    for (uint32_t seed = 1; seed <= kSeedCount; seed++) {
       model_options options = aBase;
       options.mSeed = seed;
       workload load = MakeWorkload(options);
-      ratio_figures one =
+      ratio_figures figures =
         Measure(options, load, RunPolicy(options, load, policy(p)));
       ratio_figures& bound = bounds[seed - 1];
       if (policy(p) == policy::FifoBound) {
-        bound = one;
+        bound = figures;
       } else if (policy(p) == policy::ShortestBound) {
-        bound.mMean = std::min(bound.mMean, one.mMean);
-        bound.mP99 = std::min(bound.mP99, one.mP99);
+        bound.mMean = std::min(bound.mMean, figures.mMean);
+        bound.mP99 = std::min(bound.mP99, figures.mP99);
       }
-      sum.mMean += one.mMean / kSeeds;
-      sum.mP50 += one.mP50 / kSeeds;
-      sum.mP99 += one.mP99 / kSeeds;
-      sum.mP999 += one.mP999 / kSeeds;
-      sum.mMakespan += one.mMakespan / kSeeds;
-      sum.mWasted += one.mWasted / kSeeds;
-      meanToBound += one.mMean / bound.mMean / kSeeds;
-      p99ToBound += one.mP99 / bound.mP99 / kSeeds;
+      sum.mMean += figures.mMean / kSeedCount;
+      sum.mP50 += figures.mP50 / kSeedCount;
+      sum.mP99 += figures.mP99 / kSeedCount;
+      sum.mP999 += figures.mP999 / kSeedCount;
+      sum.mMakespan += figures.mMakespan / kSeedCount;
+      sum.mWasted += figures.mWasted / kSeedCount;
+      meanToBound += figures.mMean / bound.mMean / kSeedCount;
+      p99ToBound += figures.mP99 / bound.mP99 / kSeedCount;
     }
     std::string name = Name(policy(p));
     std::printf("%-12s %7.3f %7.3f %7.2f %7.2f %8.3fs %8.4f | %9.3f %9.3f\n",
@@ -151,31 +151,32 @@
 // One runner in ten fails every task after the warm-up. Compares the response
 // ratio with a run in which the same runner leaves at that time.
 void
-FailingRunner(const model_options& aBase, json* aOut)
+MeasureFailingRunner(const model_options& aBase, json* aOut)
 {
   double worstLost = 0;
   double ratio = 0;
-  for (uint32_t seed = 1; seed <= kSeeds; seed++) {
+  for (uint32_t seed = 1; seed <= kSeedCount; seed++) {
     model_options healthy = aBase;
     healthy.mSeed = seed;
     workload load = MakeWorkload(healthy);
-    model_options broken = healthy;
-    broken.mFailFrom = healthy.mWarmUp;
-    model_options without = healthy;
-    without.mLeaveFrom = healthy.mWarmUp;
-    ratio_figures with =
-      Measure(broken, load, RunPolicy(broken, load, policy::Library));
-    ratio_figures left =
-      Measure(without, load, RunPolicy(without, load, policy::Library));
-    worstLost = std::max(worstLost, with.mFailed);
-    ratio += with.mMean / left.mMean / kSeeds;
+    model_options failing = healthy;
+    failing.mFailFrom = healthy.mWarmUp;
+    model_options leaving = healthy;
+    leaving.mLeaveFrom = healthy.mWarmUp;
+    ratio_figures failingFigures =
+      Measure(failing, load, RunPolicy(failing, load, policy::Library));
+    ratio_figures leavingFigures =
+      Measure(leaving, load, RunPolicy(leaving, load, policy::Library));
+    worstLost = std::max(worstLost, failingFigures.mFailed);
+    ratio += failingFigures.mMean / leavingFigures.mMean / kSeedCount;
   }
-  std::printf("\n%s, one runner in ten fails everything, load %.0f%%: at most "
-              "%.0f tasks lost, mean %.3f times that of a run that it leaves\n",
-              aBase.mName.c_str(),
-              aBase.mLoad * 100,
-              worstLost,
-              ratio);
+  std::printf(
+    "\n%s, one runner in ten fails everything, load %.0f%%: at most "
+    "%.0f tasks lost, mean ratio %.3f times that of a run in which it leaves\n",
+    aBase.mName.c_str(),
+    aBase.mLoad * 100,
+    worstLost,
+    ratio);
   aOut->push_back({ { "deployment", aBase.mName },
                     { "load", aBase.mLoad },
                     { "lost", worstLost },
@@ -185,11 +186,11 @@
 // Measures the goodput during a burst, and the time after it until the response
 // ratio of new arrivals is back at its level before the burst.
 void
-Overload(const model_options& aBase, double aFactor, json* aOut)
+MeasureOverload(const model_options& aBase, double aFactor, json* aOut)
 {
   double goodput = 0;
   double recovery = 0;
-  for (uint32_t seed = 1; seed <= kSeeds; seed++) {
+  for (uint32_t seed = 1; seed <= kSeedCount; seed++) {
     model_options options = aBase;
     options.mSeed = seed;
     options.mAdmission = true;
@@ -225,7 +226,7 @@
       before += windows[w].first;
       count += windows[w].second;
     }
-    double usual = before / count;
+    double meanBefore = before / count;
     double recovered = 30;
     for (int w = 500; w < 790; w++) {
       // Recovered: the mean ratio of five consecutive windows is at most 1.25
@@ -236,12 +237,12 @@
         sum += windows[k].first;
         tasks += windows[k].second;
       }
-      if (tasks > 0 && sum / tasks <= usual * 1.25) {
+      if (tasks > 0 && sum / tasks <= meanBefore * 1.25) {
         recovered = (w - 500) / 10.0;
         break;
       }
     }
-    goodput += done / (load.mCapacity * 10) / kSeeds;
+    goodput += done / (load.mCapacity * 10) / kSeedCount;
     recovery = std::max(recovery, recovered);
   }
   std::printf("%s, %.0fx overload for 10 s: goodput %.1f%% of capacity, "
@@ -260,10 +261,10 @@
 // difference between a team's share of slot time and its fair share, over any
 // 10 s.
 void
-FairShares(const model_options& aBase, json* aOut)
+MeasureFairShares(const model_options& aBase, json* aOut)
 {
   double worst = 0;
-  for (uint32_t seed = 1; seed <= kSeeds; seed++) {
+  for (uint32_t seed = 1; seed <= kSeedCount; seed++) {
     model_options options = aBase;
     options.mSeed = seed;
     options.mTeams = 38;
@@ -322,11 +323,11 @@
       options.mLoad = load;
       Compare(options, &out["loads"]);
     }
-    FailingRunner(base, &out["failing"]);
+    MeasureFailingRunner(base, &out["failing"]);
     for (double factor : { 2.0, 5.0 }) {
-      Overload(base, factor, &out["overload"]);
+      MeasureOverload(base, factor, &out["overload"]);
     }
-    FairShares(base, &out["fair"]);
+    MeasureFairShares(base, &out["fair"]);
   }
   if (argc == 3 && std::strcmp(argv[1], "--json") == 0) {
     std::ofstream(argv[2]) << out.dump(1) << "\n";
--- a/bench/runner_model.cc
+++ b/bench/runner_model.cc
@@ -24,10 +24,11 @@
                                       { 0.2, 0.35 },
                                       { 0.6, 0.20 },
                                       { 2.5, 0.05 } };
-constexpr double kSpread = 0.5; // coefficient of variation of one profile
-constexpr double kMinRun = 0.05;
-constexpr double kTick = 0.01;
-constexpr double kStaleness = 0.1;
+// Coefficient of variation of the run times of one profile.
+constexpr double kRunTimeVariation = 0.5;
+constexpr double kMinRunS = 0.05;
+constexpr double kTickS = 0.01;        // of the dispatcher
+constexpr double kQueueRefreshS = 0.1; // of StaleShortest
 
 double
 MeanSpeed(const model_options& aOptions)
@@ -54,23 +55,23 @@
 enum class model_event : uint8_t
 {
   Arrive,
-  Reach, // the task reaches its runner
+  ReachRunner, // the task reaches its runner
   End,
-  Learn, // the result reaches the dispatcher
+  ResultReceived, // the result reaches the dispatcher
   Tick
 };
 
 struct timed_event
 {
   double mTime;
-  uint64_t mOrder;
+  uint64_t mSequence; // orders events of the same time
   model_event mKind;
   uint32_t mTask;
 
   bool operator>(const timed_event& aOther) const
   {
     return mTime != aOther.mTime ? mTime > aOther.mTime
-                                 : mOrder > aOther.mOrder;
+                                 : mSequence > aOther.mSequence;
   }
 };
 
@@ -108,14 +109,14 @@
       timed_event next = mEvents.top();
       mEvents.pop();
       mNow = next.mTime;
-      On(next.mKind, next.mTask);
+      OnEvent(next.mKind, next.mTask);
     }
     return std::move(mResult);
   }
 
 protected:
   virtual void Start() {}
-  virtual void On(model_event aKind, uint32_t aTask) = 0;
+  virtual void OnEvent(model_event aKind, uint32_t aTask) = 0;
 
   double RoundTrip() const
   {
@@ -124,7 +125,7 @@
 
   void Push(double aTime, model_event aKind, uint32_t aTask)
   {
-    mEvents.push({ aTime, mOrder++, aKind, aTask });
+    mEvents.push({ aTime, mSequence++, aKind, aTask });
   }
 
   bool Fails(uint32_t aRunner) const
@@ -150,13 +151,13 @@
   }
 
   // Records that aTask ended on aRunner and that its answer reaches the client
-  // aWayBack seconds later.
-  void Finish(uint32_t aTask, uint32_t aRunner, double aWayBack)
+  // aReplyLatency seconds later.
+  void Finish(uint32_t aTask, uint32_t aRunner, double aReplyLatency)
   {
     task_outcome_row& row = mResult.mTasks[aTask];
     row.mDone = true;
     row.mRunner = aRunner;
-    row.mEnd = mNow + aWayBack;
+    row.mEnd = mNow + aReplyLatency;
     row.mResponse = row.mEnd - mWorkload.mTasks[aTask].mArrival;
   }
 
@@ -167,7 +168,7 @@
 
 private:
   event_queue mEvents;
-  uint64_t mOrder = 0;
+  uint64_t mSequence = 0;
 };
 
 // A clairvoyant scheduler with exact run times and speeds, one queue, and no
@@ -188,7 +189,7 @@
   }
 
 protected:
-  void On(model_event aKind, uint32_t aTask) override
+  void OnEvent(model_event aKind, uint32_t aTask) override
   {
     if (aKind == model_event::Arrive) {
       double rank = mShortestFirst ? mWorkload.mTasks[aTask].mWork : mNow;
@@ -206,8 +207,8 @@
     double mEnd = std::numeric_limits<double>::infinity();
   };
 
-  slot_choice FirstEnd(const std::vector<std::vector<double>>& aFreeAt,
-                       uint32_t aTask) const
+  slot_choice EarliestFinish(const std::vector<std::vector<double>>& aFreeAt,
+                             uint32_t aTask) const
   {
     slot_choice best;
     for (uint32_t runner = 0; runner < aFreeAt.size(); runner++) {
@@ -229,14 +230,14 @@
   void Plan()
   {
     // Tasks beyond this position would not get a slot that is free now.
-    constexpr int kHorizon = 400;
+    constexpr int kMaxPlannedTasks = 400;
     std::vector<std::vector<double>> planned = mFreeAt;
-    int looked = 0;
+    int examined = 0;
     for (auto entry = mQueue.begin();
-         entry != mQueue.end() && looked < kHorizon;
-         looked++) {
+         entry != mQueue.end() && examined < kMaxPlannedTasks;
+         examined++) {
       uint32_t task = entry->second;
-      slot_choice chosen = FirstEnd(planned, task);
+      slot_choice chosen = EarliestFinish(planned, task);
       planned[chosen.mRunner][chosen.mSlot] = chosen.mEnd;
       if (chosen.mStart > mNow) {
         ++entry;
@@ -277,27 +278,27 @@
     , mRandom(aOptions.mSeed * 77 + 5)
     , mQueues(aOptions.mRunners)
     , mBusy(aOptions.mRunners)
-    , mStale(aOptions.mRunners)
+    , mKnownLoads(aOptions.mRunners)
     , mTarget(aWorkload.mTasks.size())
   {
   }
 
 protected:
-  void On(model_event aKind, uint32_t aTask) override
+  void OnEvent(model_event aKind, uint32_t aTask) override
   {
     if (aKind == model_event::Arrive) {
       double delay = mOptions.mLatency;
       mTarget[aTask] = Choose(&delay);
       mResult.mMessages += 2;
-      Push(mNow + delay, model_event::Reach, aTask);
-    } else if (aKind == model_event::Reach) {
+      Push(mNow + delay, model_event::ReachRunner, aTask);
+    } else if (aKind == model_event::ReachRunner) {
       mQueues[mTarget[aTask]].push_back(aTask);
-      Serve(mTarget[aTask]);
+      StartQueued(mTarget[aTask]);
     } else {
       uint32_t runner = mTarget[aTask];
       mBusy[runner]--;
       Finish(aTask, runner, mOptions.mLatency + mOptions.mClientLatency);
-      Serve(runner);
+      StartQueued(runner);
     }
   }
 
@@ -323,17 +324,18 @@
       }
       case policy::StaleShortest: {
         if (mNow >= mNextRefresh) {
-          mNextRefresh = mNow + kStaleness;
+          mNextRefresh = mNow + kQueueRefreshS;
           mResult.mMessages += count * mOptions.mEntries;
           mResult.mWasted += count * mOptions.mEntries;
           for (uint32_t i = 0; i < count; i++) {
-            mStale[i] = double(Length(i)) / mWorkload.mSpeeds[i];
+            mKnownLoads[i] = double(Length(i)) / mWorkload.mSpeeds[i];
           }
         }
-        auto least = std::min_element(mStale.begin(), mStale.end());
-        auto chosen = uint32_t(least - mStale.begin());
+        auto shortest =
+          std::min_element(mKnownLoads.begin(), mKnownLoads.end());
+        auto chosen = uint32_t(shortest - mKnownLoads.begin());
         // Its own choices count at once, without a refresh.
-        *least += 1 / mWorkload.mSpeeds[chosen];
+        *shortest += 1 / mWorkload.mSpeeds[chosen];
         return chosen;
       }
       default:
@@ -341,7 +343,7 @@
     }
   }
 
-  void Serve(uint32_t aRunner)
+  void StartQueued(uint32_t aRunner)
   {
     while (mBusy[aRunner] < mOptions.mSlots && !mQueues[aRunner].empty()) {
       uint32_t task = mQueues[aRunner].front();
@@ -359,7 +361,8 @@
   std::mt19937_64 mRandom;
   std::vector<std::deque<uint32_t>> mQueues;
   std::vector<uint32_t> mBusy;
-  std::vector<double> mStale;
+  // Queue length over speed of each runner, as of the last refresh.
+  std::vector<double> mKnownLoads;
   std::vector<uint32_t> mTarget;
   uint32_t mNext = 0;
   double mNextRefresh = 0;
@@ -371,9 +374,9 @@
 public:
   library_run(const model_options& aOptions,
               const workload& aWorkload,
-              bool aHold)
+              bool aHoldForFaster)
     : model_run(aOptions, aWorkload)
-    , mDispatcher(Options(aHold))
+    , mDispatcher(Options(aHoldForFaster))
     , mRandom(aOptions.mSeed + 3)
     , mStarted(aWorkload.mTasks.size())
     , mPending(aWorkload.mJobs)
@@ -384,19 +387,19 @@
   void Start() override
   {
     for (uint32_t i = 0; i < std::size(kShapes); i++) {
-      profile made;
-      made.mName = "profile-" + std::to_string(i);
-      made.mService = "service";
-      made.mQueueLimit = 1000000;
-      made.mMaxWaitMs = uint32_t(mOptions.mMaxWait * 1000);
-      mDispatcher.SetLane(made);
+      profile lane;
+      lane.mName = "profile-" + std::to_string(i);
+      lane.mService = "service";
+      lane.mQueueLimit = 1000000;
+      lane.mMaxWaitMs = uint32_t(mOptions.mMaxWait * 1000);
+      mDispatcher.SetLane(lane);
     }
     for (uint32_t i = 0; i < mOptions.mTeams; i++) {
-      team made;
-      made.mName = "team-" + std::to_string(i);
-      made.mQuota = mOptions.mTeamsEqual ? 1 : 1 + i % 4;
-      made.mQueueLimit = 10000000;
-      mDispatcher.SetTeam(made);
+      team options;
+      options.mName = "team-" + std::to_string(i);
+      options.mQuota = mOptions.mTeamsEqual ? 1 : 1 + i % 4;
+      options.mQueueLimit = 10000000;
+      mDispatcher.SetTeam(options);
     }
     worker_traits traits;
     traits.mServices = { "service" };
@@ -406,17 +409,17 @@
       mDispatcher.SetAccepting(mDispatcher.AddWorker(traits), true);
     }
     double end = mWorkload.mTasks.back().mArrival + 600;
-    Push(kTick, model_event::Tick, 0);
+    Push(kTickS, model_event::Tick, 0);
     mLastTick = end;
   }
 
-  void On(model_event aKind, uint32_t aTask) override
+  void OnEvent(model_event aKind, uint32_t aTask) override
   {
     switch (aKind) {
       case model_event::Arrive:
         Arrive(aTask);
         break;
-      case model_event::Reach: {
+      case model_event::ReachRunner: {
         task_outcome_row& row = mResult.mTasks[aTask];
         row.mStart = mNow;
         row.mRun = RunTime(aTask, row.mRunner);
@@ -428,18 +431,19 @@
         mResult.mMessages++;
         Finish(aTask,
                mResult.mTasks[aTask].mRunner,
-               mOptions.mLatency + Hop(aTask) + mOptions.mClientLatency);
-        Push(mNow + mOptions.mLatency, model_event::Learn, aTask);
+               mOptions.mLatency + ForwardLatency(aTask) +
+                 mOptions.mClientLatency);
+        Push(mNow + mOptions.mLatency, model_event::ResultReceived, aTask);
         return;
-      case model_event::Learn:
-        Learn(aTask);
+      case model_event::ResultReceived:
+        OnResult(aTask);
         break;
       default:
         if (IsOut(0) && mOptions.mLeaveFrom >= 0) {
           mDispatcher.SetAccepting(0, false);
         }
         if (mNow < mLastTick) {
-          Push(mNow + kTick, model_event::Tick, 0);
+          Push(mNow + kTickS, model_event::Tick, 0);
         }
         break;
     }
@@ -447,16 +451,16 @@
   }
 
 private:
-  static dispatcher_options Options(bool aHold)
+  static dispatcher_options Options(bool aHoldForFaster)
   {
     dispatcher_options options;
-    options.mHoldForFaster = aHold;
+    options.mHoldForFaster = aHoldForFaster;
     return options;
   }
 
   // Latency of forwarding to the entry that owns the shard; 0 if the job
   // arrived there. One job in mEntries does.
-  double Hop(uint32_t aTask) const
+  double ForwardLatency(uint32_t aTask) const
   {
     bool own = mWorkload.mTasks[aTask].mJob % mOptions.mEntries == 0;
     return own ? 0 : mOptions.mLatency;
@@ -465,8 +469,8 @@
   void Arrive(uint32_t aTask)
   {
     // Forwarded jobs arrive one hop later.
-    if (Hop(aTask) > 0 && !mStarted[aTask].mPassed) {
-      mStarted[aTask].mPassed = true;
+    if (ForwardLatency(aTask) > 0 && !mStarted[aTask].mForwarded) {
+      mStarted[aTask].mForwarded = true;
       Push(mNow + mOptions.mLatency, model_event::Arrive, aTask);
       return;
     }
@@ -486,18 +490,18 @@
     mPending[task.mJob].push_back(aTask);
     mDispatcher.Enqueue(
       task.mJob, task.mProfile, task.mTeam, 1, ToDuration(mNow));
-    mOpen++;
+    mOpenTasks++;
   }
 
-  void Learn(uint32_t aTask)
+  void OnResult(uint32_t aTask)
   {
-    const assignment& was = mStarted[aTask].mAssignment;
+    const assignment& started = mStarted[aTask].mAssignment;
     const task_outcome_row& row = mResult.mTasks[aTask];
-    mOpen--;
-    mDispatcher.Finished({ was.mWorker,
-                           was.mLane,
-                           was.mTeam,
-                           was.mExpected,
+    mOpenTasks--;
+    mDispatcher.Finished({ started.mWorker,
+                           started.mLane,
+                           started.mTeam,
+                           started.mExpected,
                            ToDuration(row.mRun),
                            row.mFailed },
                          ToDuration(mNow));
@@ -513,13 +517,13 @@
       mStarted[task].mAssignment = next;
       mResult.mTasks[task].mRunner = next.mWorker;
       mResult.mMessages++;
-      Push(mNow + mOptions.mLatency, model_event::Reach, task);
+      Push(mNow + mOptions.mLatency, model_event::ReachRunner, task);
     }
   }
 
   struct started_row
   {
-    bool mPassed = false;
+    bool mForwarded = false;
     assignment mAssignment{};
   };
 
@@ -527,7 +531,7 @@
   std::mt19937_64 mRandom;
   std::vector<started_row> mStarted;
   std::vector<std::deque<uint32_t>> mPending;
-  uint64_t mOpen = 0;
+  uint64_t mOpenTasks = 0;
   double mLastTick = 0;
 };
 
@@ -547,42 +551,44 @@
 MakeWorkload(const model_options& aOptions)
 {
   std::mt19937_64 random(aOptions.mSeed);
-  workload made;
+  workload load;
   std::uniform_real_distribution<double> speed(aOptions.mMinSpeed,
                                                aOptions.mMaxSpeed);
   for (uint32_t i = 0; i < aOptions.mRunners; i++) {
-    made.mSpeeds.push_back(speed(random));
-    made.mCapacity += made.mSpeeds.back() * aOptions.mSlots;
+    load.mSpeeds.push_back(speed(random));
+    load.mCapacity += load.mSpeeds.back() * aOptions.mSlots;
   }
   double meanWork = 0;
   for (const profile_shape& shape : kShapes) {
     meanWork += shape.mMeanRun * shape.mShare * MeanSpeed(aOptions);
   }
   double meanJob = aOptions.mSingleTasks ? 1 : 0.7 + 0.2 * 4 + 0.1 * 20;
-  double jobRate = aOptions.mLoad * made.mCapacity / meanWork / meanJob;
-  double sigma = std::sqrt(std::log(1 + kSpread * kSpread));
-  std::exponential_distribution<double> gap(1);
+  double jobRate = aOptions.mLoad * load.mCapacity / meanWork / meanJob;
+  double sigma = std::sqrt(std::log(1 + kRunTimeVariation * kRunTimeVariation));
+  std::exponential_distribution<double> interarrival(1);
   for (double now = 0; now < aOptions.mDuration;) {
     bool burst = now >= aOptions.mBurstFrom && now < aOptions.mBurstUntil;
-    now += gap(random) / (jobRate * (burst ? aOptions.mBurstFactor : 1));
+    now +=
+      interarrival(random) / (jobRate * (burst ? aOptions.mBurstFactor : 1));
     uint32_t size = JobSize(random, aOptions.mSingleTasks);
     double roll = std::uniform_real_distribution<double>(0, 1)(random);
-    uint32_t kind = 0;
-    while (kind + 1 < std::size(kShapes) && roll > kShapes[kind].mShare) {
-      roll -= kShapes[kind].mShare;
-      kind++;
+    uint32_t profileIndex = 0;
+    while (profileIndex + 1 < std::size(kShapes) &&
+           roll > kShapes[profileIndex].mShare) {
+      roll -= kShapes[profileIndex].mShare;
+      profileIndex++;
     }
-    double mean = kShapes[kind].mMeanRun;
+    double mean = kShapes[profileIndex].mMeanRun;
     std::lognormal_distribution<double> run(std::log(mean) - sigma * sigma / 2,
                                             sigma);
     auto teamIndex = uint32_t(random() % aOptions.mTeams);
     for (uint32_t i = 0; i < size; i++) {
-      double work = std::max(kMinRun, run(random)) * MeanSpeed(aOptions);
-      made.mTasks.push_back({ now, made.mJobs, kind, teamIndex, work });
+      double work = std::max(kMinRunS, run(random)) * MeanSpeed(aOptions);
+      load.mTasks.push_back({ now, load.mJobs, profileIndex, teamIndex, work });
     }
-    made.mJobs++;
+    load.mJobs++;
   }
-  return made;
+  return load;
 }
 
 run_result
--- a/bench/scale_bench.cc
+++ b/bench/scale_bench.cc
@@ -39,7 +39,7 @@
 
 // Measures one idle minute, after two minutes for start-up.
 void
-Control(uint32_t aEntries, uint32_t aGuards, json* aOut)
+MeasureControlTraffic(uint32_t aEntries, uint32_t aGuards, json* aOut)
 {
   testing::world_options options;
   options.mEntries = aEntries;
@@ -85,9 +85,9 @@
 
 // Measures the time of one start and one end while aQueued tasks are queued.
 void
-Dispatch(uint32_t aWorkers, uint32_t aQueued, json* aOut)
+MeasureDispatch(uint32_t aWorkers, uint32_t aQueued, json* aOut)
 {
-  dispatcher made((dispatcher_options()));
+  dispatcher placement((dispatcher_options()));
   constexpr uint32_t kLanes = 8;
   constexpr uint32_t kTeams = 38;
   constexpr uint32_t kJobTasks = 1000;
@@ -95,23 +95,23 @@
     profile one;
     one.mName = "profile-" + std::to_string(i);
     one.mService = "service";
-    made.SetLane(one);
+    placement.SetLane(one);
   }
   for (uint32_t i = 0; i < kTeams; i++) {
     team one;
     one.mName = "team-" + std::to_string(i);
-    made.SetTeam(one);
+    placement.SetTeam(one);
   }
   worker_traits traits;
   traits.mServices = { "service" };
   traits.mSlots = 8;
   for (uint32_t i = 0; i < aWorkers; i++) {
-    made.SetAccepting(made.AddWorker(traits), true);
+    placement.SetAccepting(placement.AddWorker(traits), true);
   }
   instant now = seconds(1);
   uint32_t job = 1;
   auto push = [&](uint32_t aCount) {
-    made.Enqueue(job, job % kLanes, job % kTeams, aCount, now);
+    placement.Enqueue(job, job % kLanes, job % kTeams, aCount, now);
     job++;
   };
   for (uint32_t queued = 0; queued < aQueued; queued += kJobTasks) {
@@ -119,31 +119,31 @@
   }
   std::vector<assignment> running;
   assignment next;
-  auto turn = [&](uint32_t aTurns) {
+  auto runTurns = [&](uint32_t aTurns) {
     for (uint32_t i = 0; i < aTurns; i++) {
       now += std::chrono::microseconds(100);
       if (!running.empty()) {
         assignment done = running[i % running.size()];
         running[i % running.size()] = running.back();
         running.pop_back();
-        made.Finished({ done.mWorker,
-                        done.mLane,
-                        done.mTeam,
-                        done.mExpected,
-                        std::chrono::milliseconds(200),
-                        false },
-                      now);
+        placement.Finished({ done.mWorker,
+                             done.mLane,
+                             done.mTeam,
+                             done.mExpected,
+                             std::chrono::milliseconds(200),
+                             false },
+                           now);
       }
-      while (made.Next(now, &next)) {
+      while (placement.Next(now, &next)) {
         running.push_back(next);
         push(1);
       }
     }
   };
-  turn(3000); // warm-up, so that every worker has run tasks
+  runTurns(3000); // warm-up, so that every worker has run tasks
   constexpr uint32_t kTurns = 20000;
   double start = NowSeconds();
-  turn(kTurns);
+  runTurns(kTurns);
   double perStart = (NowSeconds() - start) / kTurns * 1e6;
   std::printf("%8u %10u %12.2f\n", aWorkers, aQueued, perStart);
   aOut->push_back({ { "workers", aWorkers },
@@ -153,7 +153,7 @@
 
 // Measures the heap memory of decided jobs that are retained.
 void
-JobMemory(uint32_t aTasks, json* aOut)
+MeasureJobMemory(uint32_t aTasks, json* aOut)
 {
   job_table_options options;
   options.mMaxAnswerBytes = 1u << 30;
@@ -161,13 +161,13 @@
   constexpr uint32_t kJobs = 2000;
   double before = HeapBytes();
   for (uint32_t i = 0; i < kJobs; i++) {
-    submission made;
-    made.mId = job_id::FromKey("team", std::to_string(i), 1);
-    made.mTeam = "team";
-    made.mKey = "order-" + std::to_string(i);
-    made.mProfile = "quote";
-    made.mPayloads.assign(aTasks, "{\"kit\":\"spinet\",\"sleep_ms\":100}");
-    job_handle job = table.Add(std::move(made), seconds(1));
+    submission request;
+    request.mId = job_id::FromKey("team", std::to_string(i), 1);
+    request.mTeam = "team";
+    request.mKey = "order-" + std::to_string(i);
+    request.mProfile = "quote";
+    request.mPayloads.assign(aTasks, "{\"kit\":\"spinet\",\"sleep_ms\":100}");
+    job_handle job = table.Add(std::move(request), seconds(1));
     for (uint32_t t = 0; t < aTasks; t++) {
       wire::task_result_msg result;
       result.ref = RefOf(table.At(job).mSubmission.mId, t);
@@ -201,24 +201,24 @@
               "reads/s",
               "writes/s");
   for (uint32_t guards : { 10u, 50u, 200u, 550u }) {
-    Control(3, guards, &out["control"]);
+    MeasureControlTraffic(3, guards, &out["control"]);
   }
-  Control(6, 550, &out["control"]);
-  Control(18, 550, &out["control"]);
+  MeasureControlTraffic(6, 550, &out["control"]);
+  MeasureControlTraffic(18, 550, &out["control"]);
   std::printf(
     "\none start and one end\n%8s %10s %12s\n", "workers", "queued", "us");
   for (uint32_t queued : { 100u, 1000u, 10000u, 100000u }) {
-    Dispatch(32, queued, &out["dispatch"]);
+    MeasureDispatch(32, queued, &out["dispatch"]);
   }
   for (uint32_t workers : { 10u, 64u, 128u }) {
-    Dispatch(workers, 10000, &out["dispatch"]);
+    MeasureDispatch(workers, 10000, &out["dispatch"]);
   }
   std::printf("\nmemory of decided jobs\n%8s %12s %12s\n",
               "tasks",
               "B a job",
               "B a task");
   for (uint32_t tasks : { 1u, 10u, 100u, 1000u }) {
-    JobMemory(tasks, &out["memory"]);
+    MeasureJobMemory(tasks, &out["memory"]);
   }
   if (argc == 3 && std::strcmp(argv[1], "--json") == 0) {
     std::ofstream(argv[2]) << out.dump(1) << "\n";
--- a/bench/sized_bench.cc
+++ b/bench/sized_bench.cc
@@ -20,7 +20,7 @@
 using std::chrono::seconds;
 
 constexpr double kSpeeds[] = { 0.6, 1.0, 1.6 };
-constexpr duration kSpan = seconds(6);
+constexpr duration kLoadDuration = seconds(6);
 constexpr uint32_t kSeed = 17;
 
 struct trial
@@ -60,11 +60,11 @@
   }
   world.Run(seconds(1));
   size_t before = world.MessagesOut() + world.MessagesIn();
-  size_t heardBefore = world.MessagesIn();
-  instant began = world.Now();
-  load_result played = PlayLoad(&world, aTrial.mLoad, kSpan, kSeed);
-  double spanS = double((world.Now() - began).count()) / 1e6;
-  std::sort(played.mRatios.begin(), played.mRatios.end());
+  size_t messagesInBefore = world.MessagesIn();
+  instant startedAt = world.Now();
+  load_result result = PlayLoad(&world, aTrial.mLoad, kLoadDuration, kSeed);
+  double durationS = double((world.Now() - startedAt).count()) / 1e6;
+  std::sort(result.mRatios.begin(), result.mRatios.end());
   uint64_t attempts = 0;
   uint64_t bounced = 0;
   for (size_t i = 0; i < aTrial.mEntries; i++) {
@@ -73,21 +73,22 @@
   }
   auto started = double(std::max<uint64_t>(1, attempts - bounced));
   size_t messages = world.MessagesOut() + world.MessagesIn() - before;
-  double heard = double(world.MessagesIn() - heardBefore) / spanS;
-  auto jobs = double(played.mJobs);
+  double messagesInPerS =
+    double(world.MessagesIn() - messagesInBefore) / durationS;
+  auto jobs = double(result.mJobs);
   return { { "entries", aTrial.mEntries },
            { "executors", aTrial.mExecutors },
            { "load", aTrial.mLoad },
            { "subsets", aTrial.mSubsets },
-           { "jobs", played.mJobs },
-           { "timely", double(played.mTimely) / jobs },
-           { "late", double(played.mLate) / jobs },
-           { "refused", double(played.mRefused) / jobs },
-           { "ratio_p50", Quantile(played.mRatios, 0.5) },
-           { "ratio_p99", Quantile(played.mRatios, 0.99) },
+           { "jobs", result.mJobs },
+           { "timely", double(result.mTimely) / jobs },
+           { "late", double(result.mLate) / jobs },
+           { "refused", double(result.mRefused) / jobs },
+           { "ratio_p50", Quantile(result.mRatios, 0.5) },
+           { "ratio_p99", Quantile(result.mRatios, 0.99) },
            { "bounced_per_task", double(bounced) / started },
            { "messages_per_task", double(messages) / started },
-           { "heard_per_entry_s", heard / double(aTrial.mEntries) },
+           { "heard_per_entry_s", messagesInPerS / double(aTrial.mEntries) },
            { "violations", world.Violations().size() } };
 }
 
@@ -116,17 +117,17 @@
 } // namespace
 
 int
-main(int aCount, char** aWords)
+main(int aArgc, char** aArgv)
 {
   json rows = json::array();
   std::printf("entries executors load subsets   jobs timely  late refused  p50 "
               "  p99  bounced messages heard/s broken\n");
-  for (const trial& one : kTrials) {
-    rows.push_back(Measure(one));
+  for (const trial& trialOptions : kTrials) {
+    rows.push_back(Measure(trialOptions));
     Print(rows.back());
   }
-  if (aCount == 3 && std::strcmp(aWords[1], "--json") == 0) {
-    std::ofstream(aWords[2]) << rows.dump(1) << '\n';
+  if (aArgc == 3 && std::strcmp(aArgv[1], "--json") == 0) {
+    std::ofstream(aArgv[2]) << rows.dump(1) << '\n';
   }
   return 0;
 }
