--- a/bench/runner_model.cc
+++ b/bench/runner_model.cc
@@ -454,7 +454,7 @@
   static dispatcher_options Options(bool aHoldForFaster)
   {
     dispatcher_options options;
-    options.mHoldForFaster = aHoldForFaster;
+    options.mWaitForFaster = aHoldForFaster;
     return options;
   }
 
@@ -498,13 +498,13 @@
     const assignment& started = mStarted[aTask].mAssignment;
     const task_outcome_row& row = mResult.mTasks[aTask];
     mOpenTasks--;
-    mDispatcher.Finished({ started.mWorker,
-                           started.mLane,
-                           started.mTeam,
-                           started.mExpected,
-                           ToDuration(row.mRun),
-                           row.mFailed },
-                         ToDuration(mNow));
+    mDispatcher.OnFinished({ started.mWorker,
+                             started.mLane,
+                             started.mTeam,
+                             started.mExpected,
+                             ToDuration(row.mRun),
+                             row.mFailed },
+                           ToDuration(mNow));
   }
 
   void Dispatch()
--- a/bench/scale_bench.cc
+++ b/bench/scale_bench.cc
@@ -126,13 +126,13 @@
         assignment done = running[i % running.size()];
         running[i % running.size()] = running.back();
         running.pop_back();
-        placement.Finished({ done.mWorker,
-                             done.mLane,
-                             done.mTeam,
-                             done.mExpected,
-                             std::chrono::milliseconds(200),
-                             false },
-                           now);
+        placement.OnFinished({ done.mWorker,
+                               done.mLane,
+                               done.mTeam,
+                               done.mExpected,
+                               std::chrono::milliseconds(200),
+                               false },
+                             now);
       }
       while (placement.Next(now, &next)) {
         running.push_back(next);
--- a/bench/sized_bench.cc
+++ b/bench/sized_bench.cc
@@ -69,7 +69,7 @@
   uint64_t bounced = 0;
   for (size_t i = 0; i < aTrial.mEntries; i++) {
     attempts += world.Coordinator(i).Counters().mAttempts;
-    bounced += world.Coordinator(i).Counters().mBounced;
+    bounced += world.Coordinator(i).Counters().mNotStarted;
   }
   auto started = double(std::max<uint64_t>(1, attempts - bounced));
   size_t messages = world.MessagesOut() + world.MessagesIn() - before;
@@ -81,7 +81,7 @@
            { "load", aTrial.mLoad },
            { "subsets", aTrial.mSubsets },
            { "jobs", result.mJobs },
-           { "timely", double(result.mTimely) / jobs },
+           { "timely", double(result.mInTime) / jobs },
            { "late", double(result.mLate) / jobs },
            { "refused", double(result.mRefused) / jobs },
            { "ratio_p50", Quantile(result.mRatios, 0.5) },
--- a/cactusmast/api_json.cc
+++ b/cactusmast/api_json.cc
@@ -132,12 +132,12 @@
   for (const json& task : aObject["tasks"]) {
     std::string payload =
       task.is_string() ? task.get<std::string>() : Dump(task);
-    if (payload.size() > aLimits.mMaxPayload) {
+    if (payload.size() > aLimits.mMaxPayloadBytes) {
       throw failure(error_code::TooLarge,
                     "read submission",
                     "caller",
                     "a task may have at most " +
-                      std::to_string(aLimits.mMaxPayload) + " bytes");
+                      std::to_string(aLimits.mMaxPayloadBytes) + " bytes");
     }
     parsed.mPayloads.push_back(std::move(payload));
   }
@@ -149,12 +149,12 @@
 result<submission>
 ParseSubmission(std::string_view aBody, const api_limits& aLimits)
 {
-  if (aBody.size() > aLimits.mMaxBody) {
+  if (aBody.size() > aLimits.mMaxBodyBytes) {
     return failure(error_code::TooLarge,
                    "read submission",
                    "caller",
                    "a body may have at most " +
-                     std::to_string(aLimits.mMaxBody) + " bytes");
+                     std::to_string(aLimits.mMaxBodyBytes) + " bytes");
   }
   try {
     return ReadSubmission(json::parse(aBody, strict_filter()), aLimits);
@@ -166,7 +166,7 @@
 }
 
 result<std::string>
-CheckKey(std::string_view aKey, const api_limits& aLimits)
+ParseKey(std::string_view aKey, const api_limits& aLimits)
 {
   bool printable = std::all_of(aKey.begin(), aKey.end(), [](char aChar) {
     return aChar > 32 && aChar < 127;
@@ -193,7 +193,7 @@
 }
 
 int
-StatusOf(const wire::job_reply_msg& aReply)
+HttpStatusOf(const wire::job_reply_msg& aReply)
 {
   if (aReply.error != 0) {
     return HttpStatus(error_code(aReply.error));
@@ -228,9 +228,9 @@
 std::string
 RenderStatus(const entry_node& aNode, instant aNow)
 {
-  uint64_t version = aNode.Config().InForce().mVersion;
+  uint64_t version = aNode.Config().Config().mVersion;
   json status = { { "config_version", version },
-                  { "config_fresh", aNode.Config().Fresh(aNow) },
+                  { "config_fresh", aNode.Config().IsFresh(aNow) },
                   { "draining", aNode.IsDraining() },
                   { "open_requests", aNode.OpenRequests() },
                   { "processes", json::array() },
--- a/cactusmast/api_json.h
+++ b/cactusmast/api_json.h
@@ -15,10 +15,10 @@
 // Limits of a caller's request.
 struct api_limits
 {
-  size_t mMaxBody = 8u << 20; // bytes
+  size_t mMaxBodyBytes = 8u << 20; // bytes
   uint32_t mMaxTasks = 1000;
-  size_t mMaxPayload = 256u << 10; // bytes of one task
-  size_t mMaxKey = 200;            // characters
+  size_t mMaxPayloadBytes = 256u << 10; // bytes of one task
+  size_t mMaxKey = 200;                 // characters
   // Maximum time for which a request waits for its job's answer.
   uint32_t mMaxWaitMs = 120000;
 };
@@ -31,7 +31,7 @@
 // Validates an idempotency key or a team name from a request; returns it, or
 // BadRequest.
 result<std::string>
-CheckKey(std::string_view aKey, const api_limits& aLimits);
+ParseKey(std::string_view aKey, const api_limits& aLimits);
 
 // Renders the answer of a job, the state of a running one, or an error.
 std::string
@@ -43,7 +43,7 @@
 // The HTTP status of a reply: 200 if the job has ended, 202 if it runs, else
 // that of the error.
 int
-StatusOf(const wire::job_reply_msg& aReply);
+HttpStatusOf(const wire::job_reply_msg& aReply);
 
 std::string
 RenderStatus(const entry_node& aNode, instant aNow);
--- a/cactusmast/backend_runner.h
+++ b/cactusmast/backend_runner.h
@@ -47,7 +47,7 @@
 enum class start_result : uint8_t
 {
   Started,
-  LeaseOver,        // the request's lease had expired when it arrived
+  LeaseExpired,     // the request's lease had expired when it arrived
   NoRoom,           // the backend server found too little free capacity
   OldRun,           // this run number or a later one was stopped or has ended
   FencedOff,        // the backend server has seen a greater fencing token
@@ -84,7 +84,7 @@
   Done,
   Failed,
   Stopped,
-  Lapsed, // its lease expired
+  LeaseExpired, // its lease expired
   Other,
   Count
 };
@@ -95,7 +95,7 @@
   uint64_t mNumber = 0;
   task_key mTask;
   uint32_t mRunNumber = 0;
-  end_kind mHow = end_kind::Other;
+  end_kind mKind = end_kind::Other;
 };
 
 // The reply to a poll: all that a backend server runs, and what has ended.
@@ -106,7 +106,7 @@
   std::vector<running_task> mRunning;
   std::vector<ended_task> mEnded;
   // Number of running tasks whose names are not task names of this system.
-  uint32_t mForeignRunning = 0;
+  uint32_t mStrayRunning = 0;
 };
 
 // How a backend server makes itself known.
--- a/cactusmast/config_agent.cc
+++ b/cactusmast/config_agent.cc
@@ -71,7 +71,7 @@
 {
   bool isTeam = aChange.mAction == change_action::PutTeam;
   return { { "operation", aChange.mOperation },
-           { "who", aChange.mWho },
+           { "who", aChange.mOperator },
            { "when", aWallSeconds },
            { "reason", aChange.mReason },
            { "action", Name(aChange.mAction) },
@@ -111,7 +111,7 @@
 }
 
 bool
-config_agent::Fresh(instant aNow) const
+config_agent::IsFresh(instant aNow) const
 {
   return mPollSucceeded && aNow - mLastConfirmed <= mOptions.mStaleAfter;
 }
@@ -127,7 +127,7 @@
     mNextPoll = aNow + mOptions.mPollInterval;
     mPollRequest = mTable.Read(kConfigVersionKey, 1, false);
   }
-  if (Loaded() && !Fresh(aNow) && !mStaleReported) {
+  if (IsLoaded() && !IsFresh(aNow) && !mStaleReported) {
     mStaleReported = true;
     mEvents.Emit(event_code::ConfigStale,
                  { { "version", std::to_string(mConfig.mVersion) } });
@@ -217,7 +217,7 @@
 {
   if (aReply.mStatus != table_status::Ok) {
     mPollAnswered = true;
-    if (!Loaded() && !mPeerDocument.empty()) {
+    if (!IsLoaded() && !mPeerDocument.empty()) {
       Install(mPeerDocument);
     }
     return;
@@ -271,7 +271,7 @@
     Install(aDocument);
     return;
   }
-  if (!Loaded() && !mPollAnswered) {
+  if (!IsLoaded() && !mPollAnswered) {
     // This process has just started, and the peer's document may be outdated.
     // The table is read first; if it is unavailable, the newest document that
     // a peer has pushed is installed.
@@ -499,7 +499,7 @@
   mRetryAt = {};
   mEvents.Emit(aOutcome.mAccepted ? event_code::ConfigAccepted
                                   : event_code::ConfigRefused,
-               { { "who", change.mWho },
+               { { "who", change.mOperator },
                  { "operation", change.mOperation },
                  { "version", std::to_string(aOutcome.mVersion) },
                  { "text", aOutcome.mText } });
--- a/cactusmast/config_agent.h
+++ b/cactusmast/config_agent.h
@@ -75,7 +75,7 @@
   // Revision of the profile that the change is based on; 0 to create it. Not
   // used for teams, which have no revision.
   uint64_t mExpectedRevision = 0;
-  std::string mWho;       // name of the operator
+  std::string mOperator;  // name of the operator
   std::string mReason;    // for the audit trail
   std::string mOperation; // unique identity of this change
 };
@@ -124,13 +124,13 @@
   // failure(Overloaded) if too many changes are queued.
   void Change(const config_change& aChange, instant aNow);
 
-  const deployment_config& InForce() const { return mConfig; }
+  const deployment_config& Config() const { return mConfig; }
   // The document in force as JSON; empty if none is known.
   const std::string& Document() const { return mDocument; }
   // Whether a document is in force.
-  bool Loaded() const { return mConfig.mVersion > 0; }
+  bool IsLoaded() const { return mConfig.mVersion > 0; }
   // Whether a poll of the table has succeeded within mStaleAfter.
-  bool Fresh(instant aNow) const;
+  bool IsFresh(instant aNow) const;
 
 private:
   // What the first queued change waits for.
--- a/cactusmast/dispatcher.cc
+++ b/cactusmast/dispatcher.cc
@@ -183,7 +183,7 @@
   }
   *aSlots = slots;
   *aRun = rate > 0 ? duration(int64_t(slots / rate * 1e6))
-                   : run_time_estimator::kInitialRun;
+                   : run_time_estimator::kInitialRunTime;
 }
 
 void
@@ -312,7 +312,8 @@
       std::max(remaining, expected * kMinRemainingShare));
   }
   // Of tasks that an earlier owner started only the number is known.
-  remainingTimes.resize(row.mRunning, Seconds(run_time_estimator::kInitialRun));
+  remainingTimes.resize(row.mRunning,
+                        Seconds(run_time_estimator::kInitialRunTime));
   if (excess > 0) {
     // A slot above the limit is not used again when it becomes free.
     std::sort(remainingTimes.begin(), remainingTimes.end());
@@ -468,7 +469,7 @@
       next.mQueued = 0; // no worker can take it; go on with other groups
       continue;
     }
-    bool waitForFaster = mOptions.mHoldForFaster &&
+    bool waitForFaster = mOptions.mWaitForFaster &&
                          mFreeSlots > mUsableSlots * kMinFreeShareToWait &&
                          end < freeEnd * kMaxWaitFinishRatio &&
                          Seconds(aNow - next.mWaitingSince) < freeEnd;
@@ -478,7 +479,7 @@
     }
     double freeIn = mPlan.FirstFree(worker);
     double slotTime = end - freeIn;
-    mPlan.Take(worker, slotTime);
+    mPlan.Reserve(worker, slotTime);
     mPlannedTeamTimes[next.mTeam] += slotTime / mQueue.Quota(next.mTeam);
     mPlannedTasks++;
     next.mQueued--;
@@ -514,7 +515,7 @@
 }
 
 void
-dispatcher::Finished(const completion& aCompletion, instant aNow)
+dispatcher::OnFinished(const completion& aCompletion, instant aNow)
 {
   mPlanValid = false;
   ReleaseSlot(
@@ -531,10 +532,10 @@
 }
 
 void
-dispatcher::NotStarted(uint32_t aWorker,
-                       uint32_t aLane,
-                       uint32_t aTeam,
-                       duration aExpected)
+dispatcher::OnNotStarted(uint32_t aWorker,
+                         uint32_t aLane,
+                         uint32_t aTeam,
+                         duration aExpected)
 {
   mPlanValid = false;
   ReleaseSlot(aWorker, aLane, instant::max() / 2);
--- a/cactusmast/dispatcher.h
+++ b/cactusmast/dispatcher.h
@@ -76,7 +76,7 @@
   uint32_t mMinRetryBudget = 10;
   // Lets tasks wait for a faster slot. Only a benchmark switches it off, to
   // show the gain.
-  bool mHoldForFaster = true;
+  bool mWaitForFaster = true;
   // A team counts as level with the one that is furthest behind while it is
   // ahead by at most this many seconds of all usable slots. A tenth of a
   // second changes a team's share over ten seconds by at most one hundredth.
@@ -146,13 +146,13 @@
 
   // A started task ended: frees its slot, corrects the team's virtual time and
   // observes the run time or the failure.
-  void Finished(const completion& aCompletion, instant aNow);
+  void OnFinished(const completion& aCompletion, instant aNow);
   // The worker did not start the task: frees its slot and takes the charge of
   // the team back. Nothing is observed.
-  void NotStarted(uint32_t aWorker,
-                  uint32_t aLane,
-                  uint32_t aTeam,
-                  duration aExpected);
+  void OnNotStarted(uint32_t aWorker,
+                    uint32_t aLane,
+                    uint32_t aTeam,
+                    duration aExpected);
   // Occupies and frees the slot of a task that an earlier owner of the shard
   // started on aWorker.
   void AdoptRunning(uint32_t aWorker) { mWorkers[aWorker].mRunning++; }
--- a/cactusmast/entry_directory.cc
+++ b/cactusmast/entry_directory.cc
@@ -48,7 +48,7 @@
 }
 
 void
-entry_directory::OnUp(const std::string& aAddress, instant aNow)
+entry_directory::OnConnected(const std::string& aAddress, instant aNow)
 {
   Add(aAddress, false, aNow);
   auto found = mRecords.find(aAddress);
@@ -63,7 +63,7 @@
 }
 
 void
-entry_directory::OnDown(const std::string& aAddress, instant aNow)
+entry_directory::OnDisconnected(const std::string& aAddress, instant aNow)
 {
   auto found = mRecords.find(aAddress);
   if (found == mRecords.end()) {
@@ -75,7 +75,7 @@
 }
 
 std::vector<std::string>
-entry_directory::Due(instant aNow)
+entry_directory::AddressesToDial(instant aNow)
 {
   std::vector<std::string> due;
   for (auto at = mRecords.begin(); at != mRecords.end();) {
@@ -120,7 +120,7 @@
 }
 
 size_t
-entry_directory::Connected() const
+entry_directory::ConnectedCount() const
 {
   return size_t(
     std::count_if(mRecords.begin(), mRecords.end(), [](const auto& aRecord) {
--- a/cactusmast/entry_directory.h
+++ b/cactusmast/entry_directory.h
@@ -30,19 +30,19 @@
   bool Add(const std::string& aAddress, bool aPinned, instant aNow);
   void Unpin(const std::string& aAddress);
   // A connection to the address was opened or closed.
-  void OnUp(const std::string& aAddress, instant aNow);
-  void OnDown(const std::string& aAddress, instant aNow);
+  void OnConnected(const std::string& aAddress, instant aNow);
+  void OnDisconnected(const std::string& aAddress, instant aNow);
 
   // Addresses to dial now. Each is due again after a backoff that doubles up to
   // a limit.
-  std::vector<std::string> Due(instant aNow);
+  std::vector<std::string> AddressesToDial(instant aNow);
   // The addresses that are connected or were so shortly before, and the own
   // address if there is known. Addresses that this process only got from others
   // are left out: processes that told them to each other would never forget
   // them.
   std::vector<std::string> LiveAddresses(instant aNow) const;
   // The number of connected addresses.
-  size_t Connected() const;
+  size_t ConnectedCount() const;
   // Changes whenever an address is added to LiveAddresses().
   uint64_t Revision() const { return mRevision; }
 
--- a/cactusmast/entry_membership.cc
+++ b/cactusmast/entry_membership.cc
@@ -113,12 +113,12 @@
 entry_node::RunElections(instant aNow)
 {
   bool delayOver = aNow - mStarted >= mOptions.mElectionDelay;
-  if (!mConfig.Loaded() || !delayOver) {
+  if (!mConfig.IsLoaded() || !delayOver) {
     return;
   }
   for (uint32_t number = 0; number < ShardCount(); number++) {
     shard_row& shard = Shard(number);
-    if (shard.mOwner != nullptr && shard.mOwner->Superseded()) {
+    if (shard.mOwner != nullptr && shard.mOwner->IsSuperseded()) {
       StepDown(number, 0, aNow);
       continue;
     }
@@ -180,7 +180,7 @@
   if (!mRostersRead) {
     // No roster has been read since the start, so there may be workers with
     // records that this process does not know.
-    known.push_back({ kUnlistedWorker, 0, aNow });
+    known.push_back({ kUnknownWorker, 0, aNow });
   }
   duration retention = mOptions.mOwner.mJobs.mRetention;
   known.erase(std::remove_if(known.begin(),
@@ -201,14 +201,14 @@
   shard.mOwner = std::make_unique<shard_owner>(options,
                                                aEpoch,
                                                KnownWorkers(aShard, aNow),
-                                               mConfig.InForce(),
+                                               mConfig.Config(),
                                                mNetwork,
                                                *this,
                                                mEvents,
                                                mRandom,
                                                aNow,
-                                               mSafeguards.mOwner);
-  shard.mOwner->SetAbsent(shard.mTraits);
+                                               mSafeguards.mShardOwner);
+  shard.mOwner->SetAbsentWorkers(shard.mTraits);
   shard.mStoredVersion = 0;
   shard.mNextStore = aNow;
   for (const auto& [peer, row] : mPeers) {
@@ -315,7 +315,7 @@
   shard_row& shard = Shard(aPart.shard);
   shard.mMaxEpoch = std::max(shard.mMaxEpoch, aPart.epoch);
   if (shard.mOwner == nullptr) {
-    if (mDraining || !mConfig.Loaded()) {
+    if (mDraining || !mConfig.IsLoaded()) {
       return; // the next owner collects the guards' records instead
     }
     Claim(aPart.shard, shard.mMaxEpoch + 1, aNow);
@@ -373,7 +373,7 @@
       status.shards.push_back(owned);
     }
   }
-  status.config_version = mConfig.InForce().mVersion;
+  status.config_version = mConfig.Config().mVersion;
   status.draining = mDraining;
   bool sendToGuards = aNow >= mNextGuardStatus;
   if (sendToGuards) {
@@ -576,7 +576,7 @@
   own.mName = mOptions.mName;
   own.mIncarnation = mOptions.mIncarnation;
   own.mDataCenter = mOptions.mDataCenter;
-  own.mConfigVersion = mConfig.InForce().mVersion;
+  own.mConfigVersion = mConfig.Config().mVersion;
   own.mDraining = mDraining;
   statuses.push_back(own);
   for (const auto& [peer, row] : mPeers) {
@@ -633,9 +633,9 @@
       status.mOwner = mOptions.mName;
       status.mLocal = true;
       status.mEpoch = own.Epoch();
-      status.mComplete = own.Complete();
+      status.mComplete = own.IsComplete();
       status.mQueued = own.Dispatcher().Queue().Total();
-      status.mUndecided = own.Jobs().Undecided();
+      status.mUndecided = own.Jobs().UndecidedJobs();
       status.mWorkers = own.LeasedWorkers(aNow);
     } else if (owner != 0) {
       status.mOwner = mPeers.at(owner).mIdentity.mName;
--- a/cactusmast/entry_node.cc
+++ b/cactusmast/entry_node.cc
@@ -237,7 +237,7 @@
 void
 entry_node::OnChangeDone(const change_outcome& aOutcome)
 {
-  mCallers.ChangeDone(aOutcome);
+  mCallers.OnChangeDone(aOutcome);
 }
 
 void
@@ -260,7 +260,7 @@
 entry_node::PushConfig(peer_id aPeer)
 {
   auto found = mPeers.find(aPeer);
-  uint64_t version = mConfig.InForce().mVersion;
+  uint64_t version = mConfig.Config().mVersion;
   if (found == mPeers.end() || version == 0) {
     return;
   }
@@ -357,7 +357,7 @@
     return false;
   }
   for (const auto& [number, shard] : mShards) {
-    if (shard.mOwner != nullptr && shard.mOwner->Jobs().Undecided() > 0) {
+    if (shard.mOwner != nullptr && shard.mOwner->Jobs().UndecidedJobs() > 0) {
       return false; // there is no successor: its jobs end here
     }
   }
--- a/cactusmast/entry_node.h
+++ b/cactusmast/entry_node.h
@@ -80,7 +80,7 @@
 // Safeguards that tests switch off to show that each is needed.
 struct entry_safeguards
 {
-  owner_safeguards mOwner;
+  owner_safeguards mShardOwner;
   config_safeguards mConfig;
 };
 
@@ -91,7 +91,7 @@
   virtual ~caller_port() = default;
   virtual void Reply(caller_id aCaller, const wire::job_reply_msg& aReply) = 0;
   // Reports the outcome of a change that was passed to entry_node::Change.
-  virtual void ChangeDone(const change_outcome& aOutcome) = 0;
+  virtual void OnChangeDone(const change_outcome& aOutcome) = 0;
 };
 
 // Status of one process, for operators.
@@ -155,7 +155,7 @@
               instant aNow);
   // The caller's connection is closed, so its reply is discarded.
   void OnCallerDisconnected(caller_id aCaller);
-  // Queues a change of the configuration; caller_port::ChangeDone reports its
+  // Queues a change of the configuration; caller_port::OnChangeDone reports its
   // outcome. Throws failure if it cannot be queued.
   void Change(const config_change& aChange, instant aNow);
 
@@ -191,7 +191,7 @@
   // How often a request was forwarded to another entry since the start.
   uint64_t ForwardedRequests() const { return mForwardCount; }
   // Whether the entry has a configuration and does not drain.
-  bool IsReady() const { return mConfig.Loaded() && !mDraining; }
+  bool IsReady() const { return mConfig.IsLoaded() && !mDraining; }
 
   // Implementations of answer_sink and config_listener.
   void Answer(uint64_t aToken, wire::job_reply_msg aReply) override;
@@ -263,7 +263,7 @@
     uint64_t mRequest = 0; // its number of the request
   };
 
-  uint32_t ShardCount() const { return mConfig.InForce().mShardCount; }
+  uint32_t ShardCount() const { return mConfig.Config().mShardCount; }
   shard_row& Shard(uint32_t aShard);
   // Whether aRow is an entry that has sent a status and has not timed out.
   bool IsLiveEntry(const peer_row& aRow, instant aNow) const;
@@ -271,7 +271,7 @@
   // is none.
   peer_id OwnerPeer(uint32_t aShard, instant aNow) const;
 
-  // Adds a request about an existing job: Watch or Cancel.
+  // Adds a request about an existing job: Await or Cancel.
   void AddWatchOrCancel(request_kind aKind,
                         caller_id aCaller,
                         const std::string& aTeam,
--- a/cactusmast/entry_requests.cc
+++ b/cactusmast/entry_requests.cc
@@ -64,7 +64,7 @@
                   duration aWait,
                   instant aNow)
 {
-  AddWatchOrCancel(request_kind::Watch, aCaller, aTeam, aId, aWait, aNow);
+  AddWatchOrCancel(request_kind::Await, aCaller, aTeam, aId, aWait, aNow);
 }
 
 void
@@ -118,7 +118,7 @@
     refuse(error_code::Overloaded, "too many open requests at this entry");
     return;
   }
-  if (!mConfig.Loaded()) {
+  if (!mConfig.IsLoaded()) {
     refuse(error_code::Unavailable, "no configuration has been read yet");
     return;
   }
@@ -178,7 +178,7 @@
       // The owner holds the payloads from now on; StepDown returns them.
       owner.Submit(std::move(aRow.mSubmission), waiting, aNow);
       break;
-    case request_kind::Watch: {
+    case request_kind::Await: {
       std::string teamName = aRow.mTeam;
       job_id id = aRow.mId;
       owner.Watch(teamName, id, waiting, aNow);
@@ -243,7 +243,7 @@
   mServedRequests[token] = { aPeer, aRequest.request_id };
   waiter waiting{ token, aNow + milliseconds(aRequest.wait_ms) };
   job_id id{ aRequest.job_hi, aRequest.job_lo };
-  if (aRequest.kind == uint8_t(request_kind::Watch)) {
+  if (aRequest.kind == uint8_t(request_kind::Await)) {
     owner.Watch(aRequest.team, id, waiting, aNow);
     return;
   }
--- a/cactusmast/estimator.cc
+++ b/cactusmast/estimator.cc
@@ -19,7 +19,7 @@
 
 } // namespace
 
-constexpr duration run_time_estimator::kInitialRun;
+constexpr duration run_time_estimator::kInitialRunTime;
 
 void
 run_time_estimator::average::Add(double aSample, uint32_t aWindow)
@@ -74,7 +74,7 @@
 run_time_estimator::Mean(uint32_t aProfile) const
 {
   if (aProfile >= mProfiles.size() || mProfiles[aProfile].mCount == 0) {
-    return kInitialRun;
+    return kInitialRunTime;
   }
   return duration(int64_t(mProfiles[aProfile].mValue));
 }
--- a/cactusmast/estimator.h
+++ b/cactusmast/estimator.h
@@ -34,14 +34,14 @@
   double Slowness(uint32_t aProfile, uint32_t aWorker) const;
 
   // Run time on this worker, and on an average one. Before any observation of
-  // the profile, the mean is kInitialRun.
+  // the profile, the mean is kInitialRunTime.
   duration Expected(uint32_t aProfile, uint32_t aWorker) const;
   duration Mean(uint32_t aProfile) const;
 
   // To be called when the index aWorker is given to another machine.
   void ForgetWorker(uint32_t aWorker);
 
-  static constexpr duration kInitialRun = std::chrono::milliseconds(200);
+  static constexpr duration kInitialRunTime = std::chrono::milliseconds(200);
 
 private:
   struct average
--- a/cactusmast/evacuation.cc
+++ b/cactusmast/evacuation.cc
@@ -18,7 +18,7 @@
 evacuation_reader::Apply(const table_change& aChange)
 {
   std::set<std::string> before;
-  if (aChange.mWhole) {
+  if (aChange.mIsSnapshot) {
     before.swap(mState.mDataCenters);
   }
   for (const store_row& row : aChange.mRows) {
@@ -40,7 +40,7 @@
     }
   }
   // A snapshot may be of an earlier version than the changes before it.
-  mState.mVersion = aChange.mWhole
+  mState.mVersion = aChange.mIsSnapshot
                       ? aChange.mVersion
                       : std::max(mState.mVersion, aChange.mVersion);
   return mState;
@@ -100,7 +100,7 @@
 }
 
 std::string
-NamesOf(const evacuation_state& aState)
+FormatDataCenters(const evacuation_state& aState)
 {
   std::string names;
   for (const std::string& center : aState.mDataCenters) {
--- a/cactusmast/evacuation.h
+++ b/cactusmast/evacuation.h
@@ -114,7 +114,7 @@
 
 // The names of the evacuated data centres, separated by commas, for logs.
 std::string
-NamesOf(const evacuation_state& aState);
+FormatDataCenters(const evacuation_state& aState);
 
 } // namespace cactusmast
 
--- a/cactusmast/guard_node.cc
+++ b/cactusmast/guard_node.cc
@@ -106,7 +106,8 @@
   duration idle = aNow - mLastActive;
   bool first = mLastActive.count() == 0;
   mLastActive = aNow;
-  if (first || idle < mOptions.mLease || !mSafeguards.mDropLinksAfterPause) {
+  if (first || idle < mOptions.mLeaseDuration ||
+      !mSafeguards.mCloseLinksAfterPause) {
     return;
   }
   mGraceUntil = aNow + kPauseGrace;
@@ -189,7 +190,7 @@
     mEpoch = aRequest.epoch;
     mHolder = aPeer;
     mLeaseHeld = true;
-    mLeaseEnd = aNow + mOptions.mLease;
+    mLeaseEnd = aNow + mOptions.mLeaseDuration;
     mSequence = aRequest.sequence;
     granted = true;
     if (newLink) {
@@ -225,7 +226,7 @@
   mHolderName = requester.mName;
   mHolderIncarnation = requester.mIncarnation;
   mLeaseHeld = true;
-  mLeaseEnd = aNow + mOptions.mLease;
+  mLeaseEnd = aNow + mOptions.mLeaseDuration;
   mSequence = aRequest.sequence;
   mHandoverSent = false;
   mEvents.Emit(
--- a/cactusmast/guard_node.h
+++ b/cactusmast/guard_node.h
@@ -43,7 +43,7 @@
   // Addresses of entries to connect to until the table's list was read.
   std::vector<std::string> mSeedEntries;
   // A lease expires this long after it was last granted or renewed.
-  duration mLease = std::chrono::milliseconds(2500);
+  duration mLeaseDuration = std::chrono::milliseconds(2500);
   // How long records are kept after their task has ended.
   duration mRetention = std::chrono::minutes(5);
   uint32_t mMaxRecords = 100000;
@@ -62,13 +62,13 @@
 // without each of them. Always on in daemons.
 struct guard_safeguards
 {
-  bool mCheckEpoch = true;          // refuse dispatches not from the holder
-  bool mCheckExpiry = true;         // refuse dispatches after the lease's end
-  bool mTombstones = true;          // record revoked tasks
-  bool mDeduplicate = true;         // ignore dispatches of recorded tasks
-  bool mMonotonicConfig = true;     // ignore older configurations
-  bool mRefuseWithdrawn = true;     // refuse while nothing is announced
-  bool mDropLinksAfterPause = true; // after this process was paused
+  bool mCheckEpoch = true;           // refuse dispatches not from the holder
+  bool mCheckExpiry = true;          // refuse dispatches after the lease's end
+  bool mTombstones = true;           // record revoked tasks
+  bool mDeduplicate = true;          // ignore dispatches of recorded tasks
+  bool mMonotonicConfig = true;      // ignore older configurations
+  bool mRefuseWithdrawn = true;      // refuse while nothing is announced
+  bool mCloseLinksAfterPause = true; // after this process was paused
 };
 
 struct backend_announcement
@@ -158,7 +158,7 @@
   uint64_t Epoch() const { return mEpoch; }
   bool Leased(instant aNow) const;
   const backend_announcement& Backend() const { return mBackend; }
-  bool Announced() const { return mAnnounced; }
+  bool IsAnnounced() const { return mAnnounced; }
   bool IsDraining() const { return mDraining; }
 
 private:
--- a/cactusmast/guard_tasks.cc
+++ b/cactusmast/guard_tasks.cc
@@ -110,7 +110,7 @@
     started = true;
   }
   if (started) {
-    mLeaseEnd = aNow + mOptions.mLease;
+    mLeaseEnd = aNow + mOptions.mLeaseDuration;
   }
 }
 
@@ -330,7 +330,7 @@
     missing.ref = ref;
     missing.outcome = uint8_t(task_outcome::Failed);
     missing.run = uint8_t(run_state::Run);
-    missing.reason = uint8_t(task_reason::ResultGone);
+    missing.reason = uint8_t(task_reason::ResultDropped);
     mOutbox.push_back(std::move(missing));
   }
 }
--- a/cactusmast/job_coordinator.cc
+++ b/cactusmast/job_coordinator.cc
@@ -231,7 +231,7 @@
     stop.job = aJob.mId;
     stop.step = target.second;
     stop.indexes = std::move(indexes);
-    mLinks.Stop(target.first, std::move(stop));
+    mLinks.SendStop(target.first, std::move(stop));
   }
 }
 
--- a/cactusmast/job_coordinator.h
+++ b/cactusmast/job_coordinator.h
@@ -87,8 +87,9 @@
 {
 public:
   virtual ~coordinator_links() = default;
-  virtual void Start(peer_id aExecutor, wire::start_tasks_msg aDispatch) = 0;
-  virtual void Stop(peer_id aExecutor, wire::stop_tasks_msg aStop) = 0;
+  virtual void SendDispatch(peer_id aExecutor,
+                            wire::start_tasks_msg aDispatch) = 0;
+  virtual void SendStop(peer_id aExecutor, wire::stop_tasks_msg aStop) = 0;
   // Begins or ends the subscription to the executor's reports.
   virtual void Subscribe(peer_id aExecutor, bool aWanted) = 0;
   // Sends the current evacuations, which have changed.
@@ -118,7 +119,7 @@
   uint64_t mGivenUp = 0;    // jobs all of whose callers disconnected
   uint64_t mDispatches = 0; // messages to executors
   uint64_t mAttempts = 0;   // tasks in them
-  uint64_t mBounced = 0;    // attempts that an executor did not start
+  uint64_t mNotStarted = 0; // attempts that an executor did not start
   uint64_t mLost = 0;       // attempts orphaned by the loss of an executor
   latency_histogram mCompletedIn; // from acceptance to the answer
   latency_histogram mOtherwiseIn; // the same for all other endings
--- a/cactusmast/job_coordinator_evacuation.cc
+++ b/cactusmast/job_coordinator_evacuation.cc
@@ -56,7 +56,7 @@
 {
   const evacuation_state& state = mEvacuations.State();
   mEvents.Emit(event_code::EvacuationsChanged,
-               { { "data_centers", NamesOf(state) },
+               { { "data_centers", FormatDataCenters(state) },
                  { "version", std::to_string(state.mVersion) },
                  { "age_ms", std::to_string(ToMs(mEvacuations.Age(aNow))) } });
   std::vector<peer_id> peers;
@@ -91,7 +91,7 @@
     event_code::JobRefused,
     { { "job", FormatJobId(aRequest.mJob) },
       { "reason", kAllEvacuated },
-      { "data_centers", NamesOf(mEvacuations.State()) },
+      { "data_centers", FormatDataCenters(mEvacuations.State()) },
       { "version", std::to_string(mEvacuations.State().mVersion) } });
   mAnswers.Answer(
     aRequest.mCaller,
--- a/cactusmast/job_coordinator_executors.cc
+++ b/cactusmast/job_coordinator_executors.cc
@@ -249,7 +249,7 @@
   stop.job = key.mJob;
   stop.step = key.mStep;
   stop.indexes.push_back(key.mIndex);
-  mLinks.Stop(aPeer, std::move(stop));
+  mLinks.SendStop(aPeer, std::move(stop));
 }
 
 void
@@ -288,7 +288,7 @@
   one.mState = task_state::Waiting;
   one.mExecutor = 0;
   if (NeverStarted(outcome)) {
-    mCounters.mBounced++;
+    mCounters.mNotStarted++;
   } else {
     one.mAvoid = aPeer;
     owner.mAnyStarted = true;
--- a/cactusmast/job_coordinator_placement.cc
+++ b/cactusmast/job_coordinator_placement.cc
@@ -338,7 +338,7 @@
           std::to_string(mViews[peerState.mView].mFree.mCpuMillis) },
         { "age_ms",
           std::to_string(ToMs(aNow - mViews[peerState.mView].mReportedAt)) } });
-    mLinks.Start(peer, std::move(dispatch));
+    mLinks.SendDispatch(peer, std::move(dispatch));
   }
   mPendingDispatches.clear();
 }
--- a/cactusmast/job_table.h
+++ b/cactusmast/job_table.h
@@ -46,7 +46,7 @@
 struct waiter
 {
   uint64_t mToken = 0; // by which the entry finds the caller
-  instant mUntil{};    // when it gets an answer at the latest
+  instant mReplyDue{}; // when it gets an answer at the latest
 };
 
 enum class task_state : uint8_t
@@ -137,7 +137,7 @@
   // Size of the results of all decided jobs.
   uint64_t AnswerBytes() const { return mAnswerBytes; }
   // Number of jobs that are not decided yet.
-  uint32_t Undecided() const { return mUndecided; }
+  uint32_t UndecidedJobs() const { return mUndecided; }
   std::unordered_map<job_handle, job_row>& Rows() { return mRows; }
 
 private:
--- a/cactusmast/message.h
+++ b/cactusmast/message.h
@@ -68,7 +68,7 @@
   TimedOut,         // the time limit passed
   Cancelled,        // the caller cancelled
   WorkerLost,       // the worker's guard was lost with its records
-  ResultGone,       // it ran, but its result is no longer held
+  ResultDropped,    // it ran, but its result is no longer held
   Unsatisfiable,    // no known backend server can run it
   RetriesExhausted, // the attempts or the retry budget are used up
   Shed,             // dropped from the queue for a job of higher priority
@@ -87,7 +87,7 @@
 enum class request_kind : uint8_t
 {
   Submit,
-  Watch,
+  Await,
   Cancel,
   Count
 };
--- a/cactusmast/shard_owner.cc
+++ b/cactusmast/shard_owner.cc
@@ -23,10 +23,10 @@
   using member = uint64_t owner_counters::*;
   static constexpr member kMembers[] = {
     &owner_counters::mDispatchMessages, &owner_counters::mDispatchedTasks,
-    &owner_counters::mRepeatedTasks,    &owner_counters::mResultMessages,
+    &owner_counters::mRequeuedTasks,    &owner_counters::mResultMessages,
     &owner_counters::mResultTasks,      &owner_counters::mDuplicateResults,
     &owner_counters::mRefusedTasks,     &owner_counters::mAckMessages,
-    &owner_counters::mSettleMessages,   &owner_counters::mCancelMessages,
+    &owner_counters::mResolveMessages,  &owner_counters::mCancelMessages,
     &owner_counters::mFetchMessages,    &owner_counters::mAbandonMessages,
     &owner_counters::mLeaseMessages,    &owner_counters::mJobsAccepted,
     &owner_counters::mJobsRefused,      &owner_counters::mJobsComplete,
@@ -220,7 +220,8 @@
   instant from = mSafeguards.mLeaseMargin ? sent : aNow;
   duration margin =
     mSafeguards.mLeaseMargin ? mOptions.mLeaseMargin : duration(0);
-  aRow.mLeaseEnd = std::max(aRow.mLeaseEnd, from + mOptions.mLease - margin);
+  aRow.mLeaseEnd =
+    std::max(aRow.mLeaseEnd, from + mOptions.mLeaseDuration - margin);
 }
 
 void
@@ -293,7 +294,7 @@
     mCounters.mFetchMessages++;
     mNetwork.Send(aRow.mPeer, MakeMessage(std::move(fetch)));
   }
-  if (aRow.mInFlight.empty() || !mSafeguards.mSettleBeforeRetry) {
+  if (aRow.mInFlight.empty() || !mSafeguards.mResolveBeforeRetry) {
     return;
   }
   wire::settle_msg query;
@@ -301,7 +302,7 @@
   for (const auto& [ref, task] : aRow.mInFlight) {
     query.refs.push_back(ref);
   }
-  mCounters.mSettleMessages++;
+  mCounters.mResolveMessages++;
   mNetwork.Send(aRow.mPeer, MakeMessage(std::move(query)));
 }
 
@@ -322,7 +323,7 @@
     }
     in_flight_task task = found->second;
     row->mInFlight.erase(found);
-    mDispatcher.NotStarted(
+    mDispatcher.OnNotStarted(
       row->mHandle, task.mLane, task.mTeam, task.mExpected);
     Requeue(task, ref.index(), false, aNow);
   }
@@ -391,14 +392,14 @@
       }
       continue;
     }
-    if (aNow - row.mLastHeard >= mOptions.mLease) {
+    if (aNow - row.mLastHeard >= mOptions.mLeaseDuration) {
       timedOut.push_back(row.mPeer);
       continue;
     }
     // Dispatches and their results renew the lease too, so only an idle link
     // needs a request of its own.
     bool renewalDue =
-      row.mLeaseEnd - aNow < mOptions.mLease - mOptions.mRenewInterval;
+      row.mLeaseEnd - aNow < mOptions.mLeaseDuration - mOptions.mRenewInterval;
     duration interval =
       row.mLeased ? mOptions.mRenewInterval / 2 : duration(kLeaseRetryInterval);
     bool requestedRecently = aNow - row.mLastLeaseRequest < interval;
--- a/cactusmast/shard_owner.h
+++ b/cactusmast/shard_owner.h
@@ -49,8 +49,8 @@
   dispatcher_options mDispatcher;
   job_table_options mJobs;
   // Must not be longer than that of the guards.
-  duration mLease = std::chrono::milliseconds(2500);
-  // The lease ends this long before it would end by mLease.
+  duration mLeaseDuration = std::chrono::milliseconds(2500);
+  // The lease ends this long before it would end by mLeaseDuration.
   duration mLeaseMargin = std::chrono::milliseconds(200);
   // A lease that was not confirmed for this long is renewed by a message of
   // its own.
@@ -81,7 +81,7 @@
 {
   bool mWaitForRecords = true;
   bool mUseRecords = true;
-  bool mSettleBeforeRetry = true;
+  bool mResolveBeforeRetry = true;
   bool mLeaseMargin = true;
   bool mDeduplicateJobs = true;
   bool mStepDownWhenSuperseded = true;
@@ -100,7 +100,7 @@
 
 // Name of a known_worker that stands for the workers in the stored roster
 // while the table is unavailable.
-constexpr char kUnlistedWorker[] = "(unlisted)";
+constexpr char kUnknownWorker[] = "(unlisted)";
 
 // The traits that a guard announced; the latency is 0.
 worker_traits
@@ -120,13 +120,13 @@
 {
   uint64_t mDispatchMessages = 0;
   uint64_t mDispatchedTasks = 0;
-  uint64_t mRepeatedTasks = 0; // queued again as certainly not started
+  uint64_t mRequeuedTasks = 0; // queued again as certainly not started
   uint64_t mResultMessages = 0;
   uint64_t mResultTasks = 0;
   uint64_t mDuplicateResults = 0;
   uint64_t mRefusedTasks = 0;
   uint64_t mAckMessages = 0; // with acknowledgements only
-  uint64_t mSettleMessages = 0;
+  uint64_t mResolveMessages = 0;
   uint64_t mCancelMessages = 0;
   uint64_t mFetchMessages = 0;
   uint64_t mAbandonMessages = 0;
@@ -157,7 +157,7 @@
 
   void SetConfig(const deployment_config& aConfig);
   // Traits of workers that are not connected, and when they last were.
-  void SetAbsent(
+  void SetAbsentWorkers(
     std::map<std::string, std::pair<worker_traits, instant>> aAbsent)
   {
     mAbsent = std::move(aAbsent);
@@ -213,12 +213,12 @@
   void FailAll(instant aNow);
 
   // Whether all workers that may hold records have reported.
-  bool Complete() const { return mMissing.empty(); }
+  bool IsComplete() const { return mMissing.empty(); }
   uint64_t Epoch() const { return mEpoch; }
   // Whether another owner has leased a guard since this one first did. That
   // owner may have started tasks that are queued here, so this one must step
   // down and, to own the shard again, start from the records.
-  bool Superseded() const { return mSuperseded; }
+  bool IsSuperseded() const { return mSuperseded; }
   // Number of workers whose lease this owner holds.
   uint32_t LeasedWorkers(instant aNow) const;
   const owner_counters& Counters() const { return mCounters; }
@@ -232,7 +232,7 @@
   // The roster of aVersion is stored, or cannot be stored at present: the
   // workers in it may get tasks.
   void OnRosterStored(uint64_t aVersion);
-  // The stored roster was read after the claim. It replaces kUnlistedWorker.
+  // The stored roster was read after the claim. It replaces kUnknownWorker.
   void OnRosterRead(const std::vector<known_worker>& aListed, instant aNow);
 
   struct worker_status
--- a/cactusmast/shard_owner_accept.cc
+++ b/cactusmast/shard_owner_accept.cc
@@ -36,7 +36,7 @@
     }
     return;
   }
-  if (!Complete()) {
+  if (!IsComplete()) {
     if (mHeld.size() >= mOptions.mMaxHeldSubmissions) {
       Refuse(aWaiter,
              failure(error_code::Overloaded,
@@ -59,7 +59,7 @@
 {
   while (!mHeld.empty()) {
     held_submission& front = mHeld.front();
-    bool ready = Complete();
+    bool ready = IsComplete();
     if (!ready && aNow < front.mUntil) {
       return;
     }
@@ -300,7 +300,7 @@
     FinishTask(aJob,
                aTask.mIndex,
                finished ? run_state::Run : run_state::Unknown,
-               finished ? task_reason::ResultGone : task_reason::WorkerLost,
+               finished ? task_reason::ResultDropped : task_reason::WorkerLost,
                aNow);
     return;
   }
@@ -374,14 +374,14 @@
   job_handle job = 0;
   if (FindJobOfTeam(aTeam, aId, &job)) {
     const job_row& row = mJobs.At(job);
-    if (row.mState == job_state::Running && aWaiter.mUntil > aNow) {
+    if (row.mState == job_state::Running && aWaiter.mReplyDue > aNow) {
       AddWaiter(job, aWaiter);
     } else {
       AnswerFrom(row, aWaiter);
     }
     return;
   }
-  bool known = mRecovered.count(aId) > 0 || !Complete();
+  bool known = mRecovered.count(aId) > 0 || !IsComplete();
   if (known) {
     Refuse(aWaiter,
            failure(error_code::InDoubt,
--- a/cactusmast/shard_owner_jobs.cc
+++ b/cactusmast/shard_owner_jobs.cc
@@ -64,7 +64,8 @@
 shard_owner::AddWaiter(job_handle aJob, const waiter& aWaiter)
 {
   mJobs.At(aJob).mWaiters.push_back(aWaiter);
-  mWaiterTimeouts.emplace(aWaiter.mUntil, std::make_pair(aJob, aWaiter.mToken));
+  mWaiterTimeouts.emplace(aWaiter.mReplyDue,
+                          std::make_pair(aJob, aWaiter.mToken));
 }
 
 void
@@ -169,13 +170,13 @@
   in_flight_task task = found->second;
   aRow.mInFlight.erase(found);
   bool wasQuarantined = mDispatcher.IsQuarantined(aRow.mHandle, aNow);
-  mDispatcher.Finished({ aRow.mHandle,
-                         task.mLane,
-                         task.mTeam,
-                         task.mExpected,
-                         duration(int64_t(aResult.run_us)),
-                         IsWorkerFault(aResult) },
-                       aNow);
+  mDispatcher.OnFinished({ aRow.mHandle,
+                           task.mLane,
+                           task.mTeam,
+                           task.mExpected,
+                           duration(int64_t(aResult.run_us)),
+                           IsWorkerFault(aResult) },
+                         aNow);
   if (!wasQuarantined && mDispatcher.IsQuarantined(aRow.mHandle, aNow)) {
     mEvents.Emit(event_code::WorkerSetAside,
                  { { "worker", aRow.mIdentity.mName } });
@@ -196,7 +197,8 @@
   }
   in_flight_task task = found->second;
   aRow.mInFlight.erase(found);
-  mDispatcher.NotStarted(aRow.mHandle, task.mLane, task.mTeam, task.mExpected);
+  mDispatcher.OnNotStarted(
+    aRow.mHandle, task.mLane, task.mTeam, task.mExpected);
   auto reason = task_reason(aResult.reason);
   if (reason == task_reason::StaleLease) {
     aRow.mLeased = false;
@@ -245,7 +247,7 @@
   }
   task.mState = task_state::Queued;
   row.mRequeued.push_back(aIndex);
-  mCounters.mRepeatedTasks++;
+  mCounters.mRequeuedTasks++;
   mDispatcher.PutBack(aTask.mJob, row.mLane, row.mTeam, aNow);
 }
 
@@ -261,7 +263,7 @@
     bool infeasible =
       row.mDeadline - aNow < start.mExpected / kInfeasibleDivisor;
     if (!taken || infeasible) {
-      mDispatcher.NotStarted(
+      mDispatcher.OnNotStarted(
         start.mWorker, start.mLane, start.mTeam, start.mExpected);
       if (taken) {
         FinishTask(
--- a/cactusmast/shard_owner_records.cc
+++ b/cactusmast/shard_owner_records.cc
@@ -276,7 +276,7 @@
 {
   std::vector<known_worker> roster = mLostWorkers;
   for (const known_worker& missing : mMissing) {
-    if (missing.mName != kUnlistedWorker) {
+    if (missing.mName != kUnknownWorker) {
       roster.push_back(missing);
     }
   }
@@ -292,7 +292,7 @@
 {
   auto unlisted = std::find_if(
     mMissing.begin(), mMissing.end(), [](const known_worker& aOne) {
-      return aOne.mName == kUnlistedWorker;
+      return aOne.mName == kUnknownWorker;
     });
   if (unlisted == mMissing.end()) {
     return;
--- a/cactusmast/slot_plan.cc
+++ b/cactusmast/slot_plan.cc
@@ -24,7 +24,7 @@
 }
 
 void
-slot_plan::Take(uint32_t aWorker, double aRunTime)
+slot_plan::Reserve(uint32_t aWorker, double aRunTime)
 {
   std::vector<double>& times = mFreeTimes[aWorker];
   auto first = std::min_element(times.begin(), times.end());
--- a/cactusmast/slot_plan.h
+++ b/cactusmast/slot_plan.h
@@ -24,7 +24,7 @@
   double FirstFree(uint32_t aWorker) const { return mFirstFree[aWorker]; }
   // Enters a task that occupies the first free slot of aWorker for aRunTime.
   // Requires HasSlot(aWorker).
-  void Take(uint32_t aWorker, double aRunTime);
+  void Reserve(uint32_t aWorker, double aRunTime);
 
 private:
   std::vector<std::vector<double>> mFreeTimes; // by worker and slot
--- a/cactusmast/startup_queue.cc
+++ b/cactusmast/startup_queue.cc
@@ -9,7 +9,7 @@
     return false;
   }
   mBytes += aBytes;
-  mHeld.push_back({ aRequest, aBytes, aNow + kStartupHold });
+  mHeld.push_back({ aRequest, aBytes, aNow + kMaxStartupHold });
   return true;
 }
 
--- a/cactusmast/startup_queue.h
+++ b/cactusmast/startup_queue.h
@@ -4,7 +4,7 @@
 // some tens of milliseconds later. When all entries start at once, no other
 // entry can serve the requests that arrive in between, and refusing them would
 // turn callers away although the entry can serve them a moment later. They are
-// therefore held in order of arrival for at most kStartupHold, up to
+// therefore held in order of arrival for at most kMaxStartupHold, up to
 // kMaxStartupBytes in total.
 //
 // Invariant: each accepted request is returned exactly once, by TakeAll or
@@ -25,7 +25,7 @@
 // How long a request is held. A configuration that is later than this means
 // that the store is unreachable; the caller is then refused and can try another
 // entry.
-constexpr duration kStartupHold = std::chrono::milliseconds(250);
+constexpr duration kMaxStartupHold = std::chrono::milliseconds(250);
 // Total size of all held requests.
 constexpr size_t kMaxStartupBytes = 8u << 20;
 
@@ -37,7 +37,7 @@
   bool Add(caller_id aRequest, size_t aBytes, instant aNow);
   // Removes and returns all requests.
   std::vector<caller_id> TakeAll();
-  // Removes and returns the requests that have waited for kStartupHold.
+  // Removes and returns the requests that have waited for kMaxStartupHold.
   std::vector<caller_id> TakeOverdue(instant aNow);
   bool IsEmpty() const { return mHeld.empty(); }
 
--- a/cactusmast/stored_row.cc
+++ b/cactusmast/stored_row.cc
@@ -23,7 +23,7 @@
 {
   auto onReply = [this, handler = std::move(aOnLoaded)](
                    const store_reply& aReply) { OnLoaded(aReply, handler); };
-  mStore.ReadPart(mPlace.mTable, mPlace.mPart, onReply);
+  mStore.ReadPartition(mPlace.mTable, mPlace.mPartition, onReply);
 }
 
 void
@@ -60,7 +60,7 @@
   mWriting = true;
   mNextWrite = aNow + kWriteRetryInterval;
   std::string value = *mDesired;
-  store_row row{ mPlace.mKey, value, value.empty(), mPlace.mPart };
+  store_row row{ mPlace.mKey, value, value.empty(), mPlace.mPartition };
   mStore.PutRow(mPlace.mTable, row, [this, value](const store_reply& aReply) {
     mWriting = false;
     if (aReply.mStatus == store_status::Ok) {
--- a/cactusmast/table_watcher.cc
+++ b/cactusmast/table_watcher.cc
@@ -43,7 +43,7 @@
         OnReply(aReply, false);
       });
   } else {
-    mStore.ReadPart(
+    mStore.ReadPartition(
       mTable, "", [this](const store_reply& aReply) { OnReply(aReply, true); });
   }
 }
@@ -74,7 +74,7 @@
   mHasReplied = true;
   mBackoff = kMinBackoff;
   mNextRequest = mNow;
-  mOnChange({ aReply.mRows, aReply.mVersion, aIsSnapshot && !aReply.mMore });
+  mOnChange({ aReply.mRows, aReply.mVersion, aIsSnapshot && !aReply.mHasMore });
   // A snapshot may be older than what was read before. Continuing from its
   // version repeats changes but misses none.
   mVersion =
--- a/cactusmast/table_watcher.h
+++ b/cactusmast/table_watcher.h
@@ -26,7 +26,7 @@
   bool mDeleted = false; // the row was deleted, or is to be
   // The partition of the table; partitions are written independently of each
   // other. Empty for tables with only one; not set in replies.
-  std::string mPart;
+  std::string mPartition;
 };
 
 enum class store_status : uint8_t
@@ -42,7 +42,7 @@
   store_status mStatus = store_status::Unavailable;
   std::vector<store_row> mRows;
   uint64_t mVersion = 0; // of the store at the time of the reply
-  bool mMore = false;    // the partition has rows beyond those in mRows
+  bool mHasMore = false; // the partition has rows beyond those in mRows
   std::string mText;     // describes the fault; empty for Ok
 };
 
@@ -50,8 +50,8 @@
 struct table_change
 {
   const std::vector<store_row>& mRows;
-  uint64_t mVersion = 0; // of the store when the rows were read
-  bool mWhole = false;   // a snapshot: the table has no other rows
+  uint64_t mVersion = 0;    // of the store when the rows were read
+  bool mIsSnapshot = false; // a snapshot: the table has no other rows
 };
 
 // The platform's store, as far as table_watcher and stored_row need it.
@@ -62,9 +62,9 @@
   virtual ~metadata_store() = default;
   // Reads one partition of a table; most tables have only the one whose name
   // is empty.
-  virtual void ReadPart(const std::string& aTable,
-                        const std::string& aPart,
-                        callback aDone) = 0;
+  virtual void ReadPartition(const std::string& aTable,
+                             const std::string& aPart,
+                             callback aDone) = 0;
   // Replies as soon as a row has changed after aVersion, and after aWaitMs at
   // the latest.
   virtual void WaitForChange(const std::string& aTable,
--- a/cactusmast/task_executor_evacuation.cc
+++ b/cactusmast/task_executor_evacuation.cc
@@ -25,7 +25,7 @@
 task_executor::OnEvacuationsChanged(bool aWasEvacuated, instant aNow)
 {
   mEvents.Emit(event_code::EvacuationsChanged,
-               { { "data_centers", NamesOf(mEvacuations.State()) },
+               { { "data_centers", FormatDataCenters(mEvacuations.State()) },
                  { "version", std::to_string(mEvacuations.State().mVersion) },
                  { "age_ms", std::to_string(ToMs(mEvacuations.Age(aNow))) },
                  { "here", IsEvacuated() ? "yes" : "no" },
--- a/cactusmast/task_executor_polls.cc
+++ b/cactusmast/task_executor_polls.cc
@@ -125,7 +125,7 @@
       continue;
     }
     attempt_outcome outcome = attempt_outcome::Lost;
-    switch (end.mHow) {
+    switch (end.mKind) {
       case end_kind::Done:
         outcome = attempt_outcome::Done;
         break;
@@ -148,7 +148,7 @@
                             instant aSentAt,
                             instant aNow)
 {
-  bool strays = aSnapshot.mForeignRunning > 0;
+  bool strays = aSnapshot.mStrayRunning > 0;
   std::set<task_key> listed;
   for (const running_task& run : aSnapshot.mRunning) {
     auto found = mTasks.find(run.mTask);
--- a/cactusmast/task_executor_starts.cc
+++ b/cactusmast/task_executor_starts.cc
@@ -108,7 +108,7 @@
       tracked.mState = task_state::Running;
       tracked.mConfirmedAt = aNow;
       return;
-    case start_result::LeaseOver:
+    case start_result::LeaseExpired:
       RetryStart(tracked, aNow);
       return;
     case start_result::OldRun:
--- a/cactusmast/testing/evacuation_test.cc
+++ b/cactusmast/testing/evacuation_test.cc
@@ -34,7 +34,7 @@
                     uint64_t aVersion,
                     bool aWhole)
   {
-    return NamesOf(mReader.Apply({ aRows, aVersion, aWhole }));
+    return FormatDataCenters(mReader.Apply({ aRows, aVersion, aWhole }));
   }
 
   test_codec mCodec;
@@ -137,7 +137,7 @@
     DecodeEvacuations(read.Asentry_pulse()->evacuating.get(), seconds(20));
   REQUIRE(update);
   CHECK(receiver.Update(*update));
-  CHECK(NamesOf(receiver.State()) == "a,b");
+  CHECK(FormatDataCenters(receiver.State()) == "a,b");
   CHECK(receiver.Age(seconds(20)) == seconds(3));
   CHECK(!DecodeEvacuations(nullptr, seconds(21)));
 }
@@ -168,8 +168,9 @@
   world.Coordinator(0).OnEvacuations(
     evacuation_update{ { 2, { "a" } }, world.Now() }, world.Now());
   world.Run(seconds(2));
-  CHECK(world.LastOf(queued).mEnding == job_ending::Completed);
-  CHECK(world.LastOf(queued).mAnsweredAt - world.LastOf(queued).mSentAt <=
+  CHECK(world.LastSubmission(queued).mEnding == job_ending::Completed);
+  CHECK(world.LastSubmission(queued).mAnsweredAt -
+          world.LastSubmission(queued).mSentAt <=
         milliseconds(300));
   CHECK(world.Server(1).mStarts == 30);
   CheckNoViolations(world);
@@ -183,7 +184,7 @@
   world.Run(milliseconds(300));
   world.Evacuate("a");
   world.Run(seconds(2));
-  CHECK(world.LastOf(job).mEnding == job_ending::Completed);
+  CHECK(world.LastSubmission(job).mEnding == job_ending::Completed);
   CHECK(StartsIn(world, "a") + StartsIn(world, "b") == 40);
   CheckNoViolations(world);
 }
@@ -198,13 +199,13 @@
   world.Run(seconds(1));
   uint64_t job = world.Submit(1, 2, 100);
   world.Run(milliseconds(10));
-  CHECK(world.LastOf(job).mAnswered);
-  CHECK(world.LastOf(job).mEnding == job_ending::Refused);
-  world.TakeBack("b");
+  CHECK(world.LastSubmission(job).mAnswered);
+  CHECK(world.LastSubmission(job).mEnding == job_ending::Refused);
+  world.EndEvacuation("b");
   world.Run(milliseconds(300));
   uint64_t later = world.Submit(1, 2, 100);
   world.Run(seconds(1));
-  CHECK(world.LastOf(later).mEnding == job_ending::Completed);
+  CHECK(world.LastSubmission(later).mEnding == job_ending::Completed);
   CheckNoViolations(world);
 }
 
@@ -214,7 +215,7 @@
   // all dispatch to the same idle backend servers.
   sized_world world(6, kServers, 5, {}, 3);
   world.Evacuate("c");
-  world.At(seconds(1), [&] { world.TakeBack("c"); });
+  world.At(seconds(1), [&] { world.EndEvacuation("c"); });
   SubmitJobs(&world, seconds(3));
   CHECK(StartsIn(world, "c") > 100);
   CHECK(world.CountEnding(job_ending::Completed) == world.Callers().size());
@@ -222,7 +223,7 @@
   uint64_t bounced = 0;
   for (size_t i = 0; i < world.Entries(); i++) {
     attempts += world.Coordinator(i).Counters().mAttempts;
-    bounced += world.Coordinator(i).Counters().mBounced;
+    bounced += world.Coordinator(i).Counters().mNotStarted;
   }
   CHECK(bounced * 20 < attempts);
   CheckNoViolations(world);
@@ -248,7 +249,7 @@
   // Guards against processes that restart while the store is unreachable and
   // start tasks although they know of no evacuation state.
   sized_world world(2, 6, 7, {}, 3);
-  world.RefuseUntilStoreIsHeard();
+  world.RefuseUntilStoreIsRead();
   world.Evacuate("a");
   world.Run(seconds(2));
   for (size_t i = 0; i < world.Entries(); i++) {
@@ -283,7 +284,7 @@
   // although they can reach the store themselves.
   constexpr duration kMaxStateAge = seconds(5);
   sized_world world(1, 6, 9, {}, 3);
-  world.SetEvacuationBound(kMaxStateAge);
+  world.SetMaxEvacuationAge(kMaxStateAge);
   world.Run(seconds(1));
   world.CutFromStore(0, seconds(30));
   world.At(seconds(1), [&] { world.Evacuate("b"); });
@@ -297,7 +298,7 @@
   // Guards against a change that is missed because it was made during the
   // outage.
   sized_world world(2, kServers, 10, {}, 3);
-  world.SetEvacuationBound(seconds(4));
+  world.SetMaxEvacuationAge(seconds(4));
   world.At(seconds(1), [&] {
     world.StopStore(seconds(3));
     world.Evacuate("b");
@@ -329,7 +330,7 @@
   // Guards against a request per executor and second to the shared store.
   sized_world world(2, 6, 12, {}, 3);
   SubmitJobs(&world, seconds(6));
-  CHECK(world.StoreAsks() == 0);
+  CHECK(world.StoreReads() == 0);
   CheckNoViolations(world);
 }
 
--- a/cactusmast/testing/executor_subset_test.cc
+++ b/cactusmast/testing/executor_subset_test.cc
@@ -230,7 +230,7 @@
   sized_world world(2, 4, 73);
   world.Submit(0, 4, 60);
   world.Run(seconds(2));
-  CHECK(world.DroppedLinks() == 0);
+  CHECK(world.ClosedLinks() == 0);
   CHECK(world.CountEnding(job_ending::Completed) == 1);
 }
 
@@ -248,7 +248,7 @@
   }
   world.Run(seconds(5));
   for (uint64_t job : jobs) {
-    CHECK(world.LastOf(job).mEnding == job_ending::Completed);
+    CHECK(world.LastSubmission(job).mEnding == job_ending::Completed);
   }
   CHECK(world.Violations().empty());
 }
--- a/cactusmast/testing/fake_server.cc
+++ b/cactusmast/testing/fake_server.cc
@@ -59,7 +59,7 @@
     return start_result::OldRun;
   }
   if (aRequest.mLeaseUntilMs <= ClockMs()) {
-    return start_result::LeaseOver;
+    return start_result::LeaseExpired;
   }
   mLeaseUntilMs = std::max(mLeaseUntilMs, aRequest.mLeaseUntilMs);
   run& started = mRunning[aRequest.mTask];
@@ -207,7 +207,7 @@
   end.mNumber = ++mEnds;
   end.mTask = aTask;
   end.mRunNumber = found->second.mRunNumber;
-  end.mHow = aHow;
+  end.mKind = aHow;
   mEnded.push_back(end);
   mLastRunNumbers[aTask] = end.mRunNumber;
   mRunning.erase(found);
@@ -236,7 +236,7 @@
     current.mDoneMs += mHangs ? 0 : progressMs;
     cpu += current.mCpu;
     if (leaseExpired) {
-      ends.emplace_back(key, end_kind::Lapsed);
+      ends.emplace_back(key, end_kind::LeaseExpired);
     } else if (current.mDoneMs >= current.mWorkMs) {
       ends.emplace_back(key, mFailsAll ? end_kind::Failed : end_kind::Done);
     }
--- a/cactusmast/testing/instance_parts_test.cc
+++ b/cactusmast/testing/instance_parts_test.cc
@@ -25,7 +25,9 @@
 class fake_store : public metadata_store
 {
 public:
-  void ReadPart(const std::string&, const std::string&, callback aDone) override
+  void ReadPartition(const std::string&,
+                     const std::string&,
+                     callback aDone) override
   {
     mReads++;
     mCallback = std::move(aDone);
@@ -195,16 +197,16 @@
   CHECK(!directory.Add("own:1", false, now));
   CHECK(directory.Add("seed:1", true, now));
   CHECK(directory.Add("old:1", false, now));
-  CHECK(directory.Due(now).size() == 2);
-  CHECK(directory.Due(now).empty());
-  directory.OnUp("old:1", now);
-  CHECK(directory.Connected() == 1);
+  CHECK(directory.AddressesToDial(now).size() == 2);
+  CHECK(directory.AddressesToDial(now).empty());
+  directory.OnConnected("old:1", now);
+  CHECK(directory.ConnectedCount() == 1);
   now += seconds(100);
-  CHECK(directory.Due(now) == std::vector<std::string>{ "seed:1" });
-  directory.OnDown("old:1", now);
-  CHECK(directory.Due(now) == std::vector<std::string>{ "old:1" });
+  CHECK(directory.AddressesToDial(now) == std::vector<std::string>{ "seed:1" });
+  directory.OnDisconnected("old:1", now);
+  CHECK(directory.AddressesToDial(now) == std::vector<std::string>{ "old:1" });
   now += seconds(61);
-  CHECK(directory.Due(now) == std::vector<std::string>{ "seed:1" });
+  CHECK(directory.AddressesToDial(now) == std::vector<std::string>{ "seed:1" });
 }
 
 TEST_CASE("a long task goes to a fast server even if it must wait for one")
@@ -357,7 +359,8 @@
   // returned, the others wait on.
   CHECK(queue.Add(3, 100, start));
   CHECK(queue.Add(4, 100, start + milliseconds(50)));
-  CHECK(queue.TakeOverdue(start + kStartupHold) == std::vector<caller_id>{ 3 });
+  CHECK(queue.TakeOverdue(start + kMaxStartupHold) ==
+        std::vector<caller_id>{ 3 });
   CHECK(queue.TakeAll() == std::vector<caller_id>{ 4 });
 
   // Large bodies must not fill the memory; requests that are taken free it.
--- a/cactusmast/testing/overload_test.cc
+++ b/cactusmast/testing/overload_test.cc
@@ -81,8 +81,8 @@
 {
   // Guards against capacity spent on jobs whose answers are late anyway.
   for (uint32_t seed : { 1u, 2u, 3u }) {
-    double peak = RunLoad(1.0, seed).mTimelyWorkS;
-    double twice = RunLoad(2.0, seed).mTimelyWorkS;
+    double peak = RunLoad(1.0, seed).mInTimeWorkS;
+    double twice = RunLoad(2.0, seed).mInTimeWorkS;
     MESSAGE("seed ", seed, ": ", twice / peak);
     CHECK(twice >= kMinGoodputShare * peak);
   }
@@ -93,8 +93,8 @@
 {
   // Guards against entries that spend their time on jobs that they cannot
   // serve.
-  double peak = RunLoad(1.0, 4).mTimelyWorkS;
-  double five = RunLoad(5.0, 4).mTimelyWorkS;
+  double peak = RunLoad(1.0, 4).mInTimeWorkS;
+  double five = RunLoad(5.0, 4).mInTimeWorkS;
   MESSAGE("five times: ", five / peak);
   CHECK(five >= kMinGoodputShare * peak);
 }
--- a/cactusmast/testing/profile_test.cc
+++ b/cactusmast/testing/profile_test.cc
@@ -25,7 +25,7 @@
   caller_request warmUp;
   warmUp.mKey = "warm";
   warmUp.mTasks = 50;
-  warmUp.mRun = milliseconds(20);
+  warmUp.mRunTime = milliseconds(20);
   prepared->Submit(warmUp);
   prepared->RunUntil(prepared->Now() + seconds(3));
   aProfile.mName = "tested";
@@ -37,7 +37,7 @@
     caller_request request;
     request.mKey = "job-" + std::to_string(i);
     request.mProfile = "tested";
-    request.mRun = aRunTime;
+    request.mRunTime = aRunTime;
     request.mPersistent = false;
     prepared->At(prepared->Now() + milliseconds(i),
                  [&world = *prepared, request] { world.Submit(request); });
--- a/cactusmast/testing/queue_test.cc
+++ b/cactusmast/testing/queue_test.cc
@@ -68,7 +68,7 @@
   {
     assignment done = mRunning.front();
     mRunning.erase(mRunning.begin());
-    mDispatcher.Finished(
+    mDispatcher.OnFinished(
       { done.mWorker, done.mLane, done.mTeam, done.mExpected, aRun, aFailed },
       mNow);
   }
--- a/cactusmast/testing/random_test.cc
+++ b/cactusmast/testing/random_test.cc
@@ -145,7 +145,7 @@
       caller_request request;
       request.mKey = "job-" + std::to_string(i);
       request.mTasks = 1 + i * 2;
-      request.mRun = milliseconds(50 + 60 * i);
+      request.mRunTime = milliseconds(50 + 60 * i);
       request.mEntry = 1 + i % mSchedule.mEntries;
       request.mProfile = i % 3 == 0 ? "confirm-cut" : "quote";
       mWorld->At(aStart + milliseconds(500 * i),
@@ -389,9 +389,9 @@
   // safeguards prevent.
   using s = scenario_safeguards;
   const std::function<void(s&)> kMutants[] = {
-    [](s& aSet) { aSet.mEntry.mOwner.mUseRecords = false; },
-    [](s& aSet) { aSet.mEntry.mOwner.mWaitForRecords = false; },
-    [](s& aSet) { aSet.mEntry.mOwner.mDeduplicateJobs = false; },
+    [](s& aSet) { aSet.mEntry.mShardOwner.mUseRecords = false; },
+    [](s& aSet) { aSet.mEntry.mShardOwner.mWaitForRecords = false; },
+    [](s& aSet) { aSet.mEntry.mShardOwner.mDeduplicateJobs = false; },
     [](s& aSet) { aSet.mEntry.mConfig.mMonotonicVersion = false; },
     [](s& aSet) { aSet.mGuard.mMonotonicConfig = false; },
   };
--- a/cactusmast/testing/scenario.cc
+++ b/cactusmast/testing/scenario.cc
@@ -159,7 +159,7 @@
     request.mTeam = Get<std::string>(aStep, "team", "members");
     request.mProfile = Get<std::string>(aStep, "profile", "quote");
     request.mTasks = Get<uint32_t>(aStep, "tasks", 1);
-    request.mRun = GetTime(aStep, "run", milliseconds(100));
+    request.mRunTime = GetTime(aStep, "run", milliseconds(100));
     request.mWait = GetTime(aStep, "wait", seconds(100));
     request.mEntry = EntryNumber(aStep);
     request.mPersistent = Get<bool>(aStep, "persistent", true);
@@ -271,7 +271,7 @@
     if (aExpected["version"]) {
       auto version = aExpected["version"].as<uint64_t>();
       auto number = Get<uint32_t>(aExpected, "entry", 1);
-      uint64_t actual = mWorld->Entry(number)->Config().InForce().mVersion;
+      uint64_t actual = mWorld->Entry(number)->Config().Config().mVersion;
       if (actual != version) {
         AddFailure("version " + std::to_string(actual) + " is in force");
       }
--- a/cactusmast/testing/scenario_test.cc
+++ b/cactusmast/testing/scenario_test.cc
@@ -38,30 +38,38 @@
   static const std::vector<mutant> kMutants = {
     { "guard closes links after a pause",
       "guard_paused_past_deadline",
-      [](safeguards& aSet) { aSet.mGuard.mDropLinksAfterPause = false; } },
+      [](safeguards& aSet) { aSet.mGuard.mCloseLinksAfterPause = false; } },
     { "guard refuses older configurations",
       "old_configuration_returns",
       [](safeguards& aSet) { aSet.mGuard.mMonotonicConfig = false; } },
     { "owner waits for records",
       "owner_killed_guard_paused",
-      [](safeguards& aSet) { aSet.mEntry.mOwner.mWaitForRecords = false; } },
+      [](safeguards& aSet) {
+        aSet.mEntry.mShardOwner.mWaitForRecords = false;
+      } },
     { "owner uses records",
       "owner_killed",
-      [](safeguards& aSet) { aSet.mEntry.mOwner.mUseRecords = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mShardOwner.mUseRecords = false; } },
     { "owner deduplicates jobs",
       "resubmitted",
-      [](safeguards& aSet) { aSet.mEntry.mOwner.mDeduplicateJobs = false; } },
+      [](safeguards& aSet) {
+        aSet.mEntry.mShardOwner.mDeduplicateJobs = false;
+      } },
     { "owner resolves dispatches in doubt before a retry",
       "lost_dispatch",
-      [](safeguards& aSet) { aSet.mEntry.mOwner.mSettleBeforeRetry = false; } },
+      [](safeguards& aSet) {
+        aSet.mEntry.mShardOwner.mResolveBeforeRetry = false;
+      } },
     { "owner steps down when superseded",
       "owner_superseded_while_paused",
       [](safeguards& aSet) {
-        aSet.mEntry.mOwner.mStepDownWhenSuperseded = false;
+        aSet.mEntry.mShardOwner.mStepDownWhenSuperseded = false;
       } },
     { "owner records abandoned tasks at guards",
       "cancelled_then_owner_lost",
-      [](safeguards& aSet) { aSet.mEntry.mOwner.mRecordAbandoned = false; } },
+      [](safeguards& aSet) {
+        aSet.mEntry.mShardOwner.mRecordAbandoned = false;
+      } },
     { "changes of an outdated revision are refused",
       "operators_race",
       [](safeguards& aSet) { aSet.mEntry.mConfig.mCompareRevision = false; } },
--- a/cactusmast/testing/server_record_test.cc
+++ b/cactusmast/testing/server_record_test.cc
@@ -29,13 +29,13 @@
 class memory_store : public metadata_store
 {
 public:
-  void ReadPart(const std::string&,
-                const std::string& aPart,
-                callback aDone) override
+  void ReadPartition(const std::string&,
+                     const std::string& aPart,
+                     callback aDone) override
   {
     store_reply reply = MakeReply();
     for (const store_row& row : mRows) {
-      if (row.mPart == aPart) {
+      if (row.mPartition == aPart) {
         reply.mRows.push_back(row);
       }
     }
--- a/cactusmast/testing/sized_job_test.cc
+++ b/cactusmast/testing/sized_job_test.cc
@@ -41,7 +41,7 @@
   world.SetRouteTimeout(1500);
   uint64_t job = world.Submit(0, 4, 2000, 8000);
   world.Run(seconds(3));
-  CHECK(world.LastOf(job).mEnding == job_ending::Completed);
+  CHECK(world.LastSubmission(job).mEnding == job_ending::Completed);
   CheckNoViolations(world);
 }
 
@@ -57,8 +57,8 @@
   world.Run(milliseconds(20));
   world.Coordinator(0).EndAll("this process ends", world.Now());
   world.Run(milliseconds(300));
-  CHECK(world.LastOf(running).mEnding == job_ending::Expired);
-  CHECK(world.LastOf(waiting).mEnding == job_ending::Refused);
+  CHECK(world.LastSubmission(running).mEnding == job_ending::Expired);
+  CHECK(world.LastSubmission(waiting).mEnding == job_ending::Refused);
   CHECK(world.Server(0).Running() == 0);
   CheckNoViolations(world);
 }
@@ -74,8 +74,8 @@
   world.Run(milliseconds(200));
   world.KillEntry(0, seconds(1));
   world.Run(seconds(7));
-  CHECK(world.LastOf(job).mAnswered);
-  CHECK(world.LastOf(job).mEnding == job_ending::Completed);
+  CHECK(world.LastSubmission(job).mAnswered);
+  CHECK(world.LastSubmission(job).mEnding == job_ending::Completed);
   CheckNoViolations(world);
 }
 
@@ -89,10 +89,10 @@
   world.Run(milliseconds(200));
   world.Cut(0, 0, seconds(5));
   world.Cut(0, 1, seconds(5));
-  world.HangUp(job);
-  world.At(milliseconds(1300), [&] { world.SubmitAgain(job, 1); });
+  world.DisconnectCaller(job);
+  world.At(milliseconds(1300), [&] { world.Resubmit(job, 1); });
   world.Run(seconds(7));
-  CHECK(world.LastOf(job).mEnding == job_ending::Completed);
+  CHECK(world.LastSubmission(job).mEnding == job_ending::Completed);
   CheckNoViolations(world);
 }
 
@@ -109,7 +109,7 @@
   world.Server(1).mDown = false;
   world.KillExecutor(0, seconds(3));
   world.Run(seconds(4));
-  CHECK(world.LastOf(job).mEnding == job_ending::Completed);
+  CHECK(world.LastSubmission(job).mEnding == job_ending::Completed);
   CheckNoViolations(world);
 }
 
@@ -141,7 +141,7 @@
   world.Run(milliseconds(100));
   world.PauseExecutor(0, seconds(2));
   world.Run(seconds(6));
-  CHECK(world.LastOf(job).mEnding == job_ending::Completed);
+  CHECK(world.LastSubmission(job).mEnding == job_ending::Completed);
   CheckNoViolations(world);
 }
 
@@ -155,8 +155,8 @@
   world.Run(milliseconds(100));
   world.PauseEntry(0, milliseconds(1600));
   world.Run(seconds(4));
-  CHECK(world.LastOf(job).mAnswered);
-  CHECK(world.LastOf(job).mEnding == job_ending::Expired);
+  CHECK(world.LastSubmission(job).mAnswered);
+  CHECK(world.LastSubmission(job).mEnding == job_ending::Expired);
   CHECK(world.Server(0).Running() + world.Server(1).Running() == 0);
   CheckNoViolations(world);
 }
@@ -191,8 +191,9 @@
   world.Server(0).Crash();
   world.At(milliseconds(150), [&] { world.Server(0).mDown = false; });
   world.Run(seconds(4));
-  CHECK(world.LastOf(job).mEnding == job_ending::Completed);
-  CHECK(world.LastOf(job).mAnsweredAt - world.LastOf(job).mSentAt <
+  CHECK(world.LastSubmission(job).mEnding == job_ending::Completed);
+  CHECK(world.LastSubmission(job).mAnsweredAt -
+          world.LastSubmission(job).mSentAt <
         milliseconds(1800));
   CheckNoViolations(world);
 }
@@ -255,7 +256,7 @@
   uint64_t job = world.Submit(0, 8, 1000);
   world.Run(milliseconds(100));
   REQUIRE(world.Server(0).Running() == 8);
-  world.HangUp(job);
+  world.DisconnectCaller(job);
   world.Run(milliseconds(30));
   CHECK(world.Server(0).Running() == 0);
   CheckNoViolations(world);
@@ -267,7 +268,7 @@
   // each task runs once.
   sized_world world(1, 2, 14);
   uint64_t job = world.Submit(0, 4, 200);
-  world.At(milliseconds(50), [&] { world.SubmitAgain(job, 0); });
+  world.At(milliseconds(50), [&] { world.Resubmit(job, 0); });
   world.Run(seconds(1));
   CHECK(world.CountEnding(job_ending::Completed) == 2);
   CHECK(world.Server(0).mStarts + world.Server(1).mStarts == 4);
@@ -319,7 +320,7 @@
   world.Run(milliseconds(5));
   uint64_t job = world.Submit(0, 1, 1100, 1500);
   world.Run(seconds(3));
-  CHECK(world.LastOf(job).mEnding == job_ending::Completed);
+  CHECK(world.LastSubmission(job).mEnding == job_ending::Completed);
   CheckNoViolations(world);
 }
 
--- a/cactusmast/testing/sized_load.cc
+++ b/cactusmast/testing/sized_load.cc
@@ -83,8 +83,8 @@
     aOut->mLate++;
     return;
   }
-  aOut->mTimely++;
-  aOut->mTimelyWorkS += aKind.WorkS();
+  aOut->mInTime++;
+  aOut->mInTimeWorkS += aKind.WorkS();
 }
 
 } // namespace
--- a/cactusmast/testing/sized_load.h
+++ b/cactusmast/testing/sized_load.h
@@ -15,10 +15,10 @@
 struct load_result
 {
   size_t mJobs = 0;
-  size_t mTimely = 0; // completed within the objective of the world's route
+  size_t mInTime = 0; // completed within the objective of the world's route
   size_t mLate = 0;   // completed later
   size_t mRefused = 0;
-  double mTimelyWorkS = 0; // work time of all tasks of timely jobs
+  double mInTimeWorkS = 0; // work time of all tasks of timely jobs
   // Of completed jobs: response time over the run time of a task.
   std::vector<double> mRatios;
 };
--- a/cactusmast/testing/sized_world.h
+++ b/cactusmast/testing/sized_world.h
@@ -141,10 +141,10 @@
                   uint32_t aDeclaredMs = 0);
   // From now on callers that resubmit a job wait only for what is left of their
   // timeout, and do not resubmit it when that has passed.
-  void CountDownWaits() { mCountDownTimeouts = true; }
-  void SubmitAgain(uint64_t aJob, size_t aEntry);
+  void CountDownTimeouts() { mCountDownTimeouts = true; }
+  void Resubmit(uint64_t aJob, size_t aEntry);
   // Closes the connections of the callers that wait for the job.
-  void HangUp(uint64_t aJob);
+  void DisconnectCaller(uint64_t aJob);
 
   // Kills the process and starts a new one aDown later.
   void KillEntry(size_t aEntry, duration aDown);
@@ -154,20 +154,21 @@
   void PauseExecutor(size_t aServer, duration aSpan);
   // For aSpan messages between the two are lost and new connections fail.
   void Cut(size_t aEntry, size_t aServer, duration aSpan);
-  // Evacuate adds an operator's row to the store, TakeBack removes it. From one
-  // second after the row is added, no task may start in the data centre.
+  // Evacuate adds an operator's row to the store, EndEvacuation removes it.
+  // From one second after the row is added, no task may start in the data
+  // centre.
   void Evacuate(const std::string& aDataCenter);
-  void TakeBack(const std::string& aDataCenter);
+  void EndEvacuation(const std::string& aDataCenter);
   // For aSpan the store does not reply to this entry.
   void CutFromStore(size_t aEntry, duration aSpan);
   // For aSpan the store does not reply to any process.
   void StopStore(duration aSpan);
   // From now on entries that have no data from the store since they started
   // refuse all jobs, as entries without a configuration do.
-  void RefuseUntilStoreIsHeard() { mRefusesUnconfigured = true; }
+  void RefuseUntilStoreIsRead() { mRefusesUnconfigured = true; }
   // For tests with an unavailable store: time from an evacuation until no task
   // may start in the data centre.
-  void SetEvacuationBound(duration aBound) { mEvacuationBound = aBound; }
+  void SetMaxEvacuationAge(duration aBound) { mEvacuationBound = aBound; }
   void DrainExecutor(size_t aServer);
   void DrainServer(size_t aServer);
 
@@ -178,7 +179,7 @@
   task_executor& Executor(size_t aIndex);
   bool ExecutorUp(size_t aIndex) const;
   // The last submission of the job.
-  const caller_record& LastOf(uint64_t aJob) const;
+  const caller_record& LastSubmission(uint64_t aJob) const;
   size_t CountEnding(job_ending aEnding) const;
   // Submissions that were completed within aWithin.
   size_t CountInTime(duration aWithin) const;
@@ -186,9 +187,9 @@
   size_t MessagesOut() const { return mMessagesOut; }
   size_t MessagesIn() const { return mMessagesIn; }
   // Reads of the evacuations by executors.
-  size_t StoreAsks() const { return mStoreAsks; }
+  size_t StoreReads() const { return mStoreAsks; }
   // Connections that one side closed because the other had timed out.
-  size_t DroppedLinks() const { return mDroppedLinks; }
+  size_t ClosedLinks() const { return mClosedLinks; }
   const std::vector<caller_record>& Callers() const { return mCallers; }
   const std::vector<std::string>& Violations() const { return mViolations; }
 
@@ -229,7 +230,7 @@
   instant mStoreBackAt{};
   instant mNextStoreTick{};
   size_t mStoreAsks = 0;
-  bool mRefusesUnconfigured = false; // see RefuseUntilStoreIsHeard
+  bool mRefusesUnconfigured = false; // see RefuseUntilStoreIsRead
   instant mNow{ std::chrono::seconds(100) };
   std::mt19937 mRandom;
   silent_events mEvents;
@@ -240,7 +241,7 @@
   std::map<peer_id, link> mLinks;
   std::map<std::pair<size_t, size_t>, instant> mCuts;
   peer_id mNextLink = 1;
-  size_t mDroppedLinks = 0;
+  size_t mClosedLinks = 0;
   size_t mMessagesOut = 0;
   size_t mMessagesIn = 0;
   uint64_t mNextIncarnation = 1;
--- a/cactusmast/testing/sized_world_callers.cc
+++ b/cactusmast/testing/sized_world_callers.cc
@@ -24,7 +24,7 @@
   mJobs[job] = submission;
   mDeadlines[job] = aDeadlineMs;
   mFirstSentAt[job] = mNow;
-  SubmitAgain(job, aEntry);
+  Resubmit(job, aEntry);
   return job;
 }
 
@@ -40,7 +40,7 @@
 }
 
 void
-sized_world::SubmitAgain(uint64_t aJob, size_t aEntry)
+sized_world::Resubmit(uint64_t aJob, size_t aEntry)
 {
   if (RemainingTimeoutMs(aJob) == 0) {
     return;
@@ -81,7 +81,7 @@
 }
 
 void
-sized_world::HangUp(uint64_t aJob)
+sized_world::DisconnectCaller(uint64_t aJob)
 {
   for (size_t i = 0; i < mCallers.size(); i++) {
     caller_record& caller = mCallers[i];
@@ -125,7 +125,7 @@
 }
 
 const caller_record&
-sized_world::LastOf(uint64_t aJob) const
+sized_world::LastSubmission(uint64_t aJob) const
 {
   auto found =
     std::find_if(mCallers.rbegin(),
--- a/cactusmast/testing/sized_world_faults.cc
+++ b/cactusmast/testing/sized_world_faults.cc
@@ -20,7 +20,7 @@
 }
 
 void
-sized_world::TakeBack(const std::string& aDataCenter)
+sized_world::EndEvacuation(const std::string& aDataCenter)
 {
   mStore.mVersion++;
   mStore.mDataCenters.erase(aDataCenter);
@@ -93,9 +93,8 @@
     }
     caller.mLost = true;
     uint64_t job = caller.mJob;
-    At(kResubmitDelay, [this, job, aEntry] {
-      SubmitAgain(job, (aEntry + 1) % mEntries.size());
-    });
+    At(kResubmitDelay,
+       [this, job, aEntry] { Resubmit(job, (aEntry + 1) % mEntries.size()); });
   }
   At(aDown, [this, aEntry] {
     mEntries[aEntry] = std::make_unique<entry>(*this, aEntry);
--- a/cactusmast/testing/sized_world_parts.h
+++ b/cactusmast/testing/sized_world_parts.h
@@ -27,7 +27,7 @@
   {
   }
 
-  void Start(peer_id aExecutor, wire::start_tasks_msg aDispatch) override
+  void SendDispatch(peer_id aExecutor, wire::start_tasks_msg aDispatch) override
   {
     mWorld.Send(aExecutor, true, [world = &mWorld, aExecutor, aDispatch] {
       const link& connection = world->mLinks.at(aExecutor);
@@ -35,12 +35,12 @@
         .OnStartTasks(aExecutor, aDispatch, world->mNow);
     });
   }
-  void Stop(peer_id aExecutor, wire::stop_tasks_msg aRequest) override
+  void SendStop(peer_id aExecutor, wire::stop_tasks_msg aStop) override
   {
-    mWorld.Send(aExecutor, true, [world = &mWorld, aExecutor, aRequest] {
+    mWorld.Send(aExecutor, true, [world = &mWorld, aExecutor, aStop] {
       const link& connection = world->mLinks.at(aExecutor);
       world->Executor(connection.mServer)
-        .OnStopTasks(aExecutor, aRequest, world->mNow);
+        .OnStopTasks(aExecutor, aStop, world->mNow);
     });
   }
   void Subscribe(peer_id aExecutor, bool aWanted) override
@@ -64,7 +64,7 @@
   }
   void Close(peer_id aExecutor) override
   {
-    mWorld.mDroppedLinks++;
+    mWorld.mClosedLinks++;
     mWorld.CloseLink(aExecutor, false, true);
   }
   void Answer(caller_id aCaller, const job_outcome& aOutcome) override
@@ -109,7 +109,7 @@
   }
   void Close(peer_id aEntry) override
   {
-    mWorld.mDroppedLinks++;
+    mWorld.mClosedLinks++;
     mWorld.CloseLink(aEntry, true, false);
   }
 
--- a/cactusmast/testing/task_executor_test.cc
+++ b/cactusmast/testing/task_executor_test.cc
@@ -272,7 +272,7 @@
   end.mNumber = 1;
   end.mTask = world.mRunner.mStarts[0].mTask;
   end.mRunNumber = world.mRunner.mStarts[0].mRunNumber;
-  end.mHow = end_kind::Done;
+  end.mKind = end_kind::Done;
   world.ReplyToPoll({}, { end });
   world.Advance(milliseconds(1));
   REQUIRE(world.mLinks.mOutcomes.size() == 1);
--- a/cactusmast/testing/timeout_model_test.cc
+++ b/cactusmast/testing/timeout_model_test.cc
@@ -178,7 +178,7 @@
 
   // Routes that no longer exist take no space, and very many routes do not
   // exceed the size of a row.
-  model.KeepOnly({ "other" });
+  model.RemoveOtherRoutes({ "other" });
   CHECK(model.Forecast("r", 50, 2600).mRunMs == 50);
   for (int i = 0; i < 2000; i++) {
     model.Observe("route-" + std::to_string(i), 50, 2600, 60);
@@ -200,7 +200,7 @@
   // than capacity. The objective of most resubmitted jobs has passed. If they
   // were placed like new ones, the new ones would be late too.
   sized_world world(1, 4, 41);
-  world.CountDownWaits();
+  world.CountDownTimeouts();
   job_generator generator(7);
   // When each new job has to be answered.
   std::map<uint64_t, instant> answerBy;
@@ -235,8 +235,8 @@
       if (down) {
         // A job sent just as the entry came back already has its answer.
         world.At(milliseconds(1300), [&world, id] {
-          if (!world.LastOf(id).mAnswered) {
-            world.SubmitAgain(id, 0);
+          if (!world.LastSubmission(id).mAnswered) {
+            world.Resubmit(id, 0);
           }
         });
       }
@@ -245,7 +245,7 @@
   world.Run(seconds(12));
   size_t inTime = 0;
   for (const auto& [id, until] : answerBy) {
-    const caller_record& record = world.LastOf(id);
+    const caller_record& record = world.LastSubmission(id);
     bool completed =
       record.mAnswered && record.mEnding == job_ending::Completed;
     inTime += completed && record.mAnsweredAt <= until ? 1 : 0;
--- a/cactusmast/testing/world.h
+++ b/cactusmast/testing/world.h
@@ -61,7 +61,7 @@
   std::string mProfile = "quote";
   uint32_t mTasks = 1;
   // Run time of each task on a backend server of speed 1.
-  duration mRun = std::chrono::milliseconds(100);
+  duration mRunTime = std::chrono::milliseconds(100);
   // Caller timeout.
   duration mWait = std::chrono::seconds(60);
   // Number of the preferred entry, from 1.
--- a/cactusmast/testing/world_callers.cc
+++ b/cactusmast/testing/world_callers.cc
@@ -64,7 +64,7 @@
   job.mProfile = request.mProfile;
   job.mId = entry->mEntry->IdentityOf(job.mTeam, job.mKey);
   for (uint32_t i = 0; i < request.mTasks; i++) {
-    job.mPayloads.push_back(MakePayload(request.mKey, i, request.mRun));
+    job.mPayloads.push_back(MakePayload(request.mKey, i, request.mRunTime));
   }
   duration timeout = request.mWait;
   At(mNow + mOptions.mLatency, [this, entry, id, job, timeout] {
@@ -172,7 +172,7 @@
   change.mToken = mNextRequest++;
   change.mProfile = aProfile;
   change.mExpectedRevision = aExpectedRevision;
-  change.mWho = "operator";
+  change.mOperator = "operator";
   change.mReason = "test";
   change.mOperation = "operation-" + std::to_string(change.mToken);
   Deliver(entry,
--- a/cactusmast/testing/world_fakes.h
+++ b/cactusmast/testing/world_fakes.h
@@ -475,7 +475,7 @@
     mWorld.OnReply(aCaller, aReply);
   }
 
-  void ChangeDone(const change_outcome& aOutcome) override
+  void OnChangeDone(const change_outcome& aOutcome) override
   {
     mWorld.mChanges.push_back(aOutcome);
     if (aOutcome.mAccepted) {
--- a/cactusmast/timeout_model.cc
+++ b/cactusmast/timeout_model.cc
@@ -212,7 +212,7 @@
 }
 
 void
-timeout_model::KeepOnly(const std::set<std::string>& aRoutes)
+timeout_model::RemoveOtherRoutes(const std::set<std::string>& aRoutes)
 {
   for (auto at = mRegressions.begin(); at != mRegressions.end();) {
     at = aRoutes.count(at->first) > 0 ? std::next(at) : mRegressions.erase(at);
--- a/cactusmast/timeout_model.h
+++ b/cactusmast/timeout_model.h
@@ -106,7 +106,7 @@
 
   // Removes the regressions of all other routes. Otherwise they would
   // accumulate, because routes come and go for years.
-  void KeepOnly(const std::set<std::string>& aRoutes);
+  void RemoveOtherRoutes(const std::set<std::string>& aRoutes);
   // The value of a row of the store: the regressions of greatest weight, at
   // most kMaxStoredRegressions of them.
   std::string Encode() const;
--- a/shell/coordinator_daemon.cc
+++ b/shell/coordinator_daemon.cc
@@ -120,13 +120,14 @@
 }
 
 void
-coordinator_daemon::Start(peer_id aExecutor, wire::start_tasks_msg aMessage)
+coordinator_daemon::SendDispatch(peer_id aExecutor,
+                                 wire::start_tasks_msg aMessage)
 {
   SendToExecutor(aExecutor, MakeMessage(std::move(aMessage)));
 }
 
 void
-coordinator_daemon::Stop(peer_id aExecutor, wire::stop_tasks_msg aMessage)
+coordinator_daemon::SendStop(peer_id aExecutor, wire::stop_tasks_msg aMessage)
 {
   SendToExecutor(aExecutor, MakeMessage(std::move(aMessage)));
 }
@@ -176,7 +177,7 @@
     entry_peer& added = mEntryPeers[aPeer];
     added.mAddress = aIdentity.mAddress;
     added.mLastHeard = Now();
-    mDirectory.OnUp(aIdentity.mAddress, Now());
+    mDirectory.OnConnected(aIdentity.mAddress, Now());
     mNextHeartbeat = Now();
   }
   TickSoon();
@@ -190,7 +191,7 @@
   mExecutorPeers.erase(aPeer);
   auto found = mEntryPeers.find(aPeer);
   if (found != mEntryPeers.end()) {
-    mDirectory.OnDown(found->second.mAddress, Now());
+    mDirectory.OnDisconnected(found->second.mAddress, Now());
     mEntryPeers.erase(found);
   }
   TickSoon();
@@ -256,7 +257,7 @@
   for (const route& one : mConfig.Table()->Config().mRoutes) {
     routes.insert(one.mName);
   }
-  mCoordinator.TimeoutModel().KeepOnly(routes);
+  mCoordinator.TimeoutModel().RemoveOtherRoutes(routes);
 }
 
 // Evacuations are applied first: a request that is held until there is a
@@ -435,7 +436,7 @@
 }
 
 void
-coordinator_daemon::DropSilentEntries(instant aNow)
+coordinator_daemon::CheckEntryTimeouts(instant aNow)
 {
   for (auto it = mEntryPeers.begin(); it != mEntryPeers.end();) {
     if (aNow - it->second.mLastHeard <= kPeerEntryTimeout) {
@@ -443,7 +444,7 @@
       continue;
     }
     mLog.Emit(event_code::PeerSilent, { { "peer", it->second.mAddress } });
-    mDirectory.OnDown(it->second.mAddress, aNow);
+    mDirectory.OnDisconnected(it->second.mAddress, aNow);
     mTransport->Close(it->first);
     it = mEntryPeers.erase(it);
   }
@@ -461,7 +462,7 @@
   RefuseOverdueRequests(now);
   CloseIdleConnections(now);
   mCoordinator.Tick(now);
-  DropSilentEntries(now);
+  CheckEntryTimeouts(now);
   // Of two entries, the one with the lower address dials, so that there is one
   // connection between them.
   DialEntries(now, [this](const std::string& aAddress) {
@@ -543,7 +544,7 @@
   aPage->Counter("cactusmast_attempts", "Attempts.", double(counts.mAttempts));
   aPage->Counter("cactusmast_attempts_bounced",
                  "Attempts that an executor did not start.",
-                 double(counts.mBounced));
+                 double(counts.mNotStarted));
   aPage->Counter("cactusmast_attempts_lost",
                  "Attempts whose executor was lost.",
                  double(counts.mLost));
--- a/shell/coordinator_daemon.h
+++ b/shell/coordinator_daemon.h
@@ -58,8 +58,8 @@
   void OnPeerDown(peer_id aPeer) override;
   void OnPeerMessage(peer_id aPeer, const message& aMessage) override;
 
-  void Start(peer_id aExecutor, wire::start_tasks_msg aMessage) override;
-  void Stop(peer_id aExecutor, wire::stop_tasks_msg aMessage) override;
+  void SendDispatch(peer_id aExecutor, wire::start_tasks_msg aMessage) override;
+  void SendStop(peer_id aExecutor, wire::stop_tasks_msg aMessage) override;
   void Subscribe(peer_id aExecutor, bool aWanted) override;
   void SendEvacuations(peer_id aExecutor) override;
   void Close(peer_id aExecutor) override;
@@ -153,7 +153,7 @@
   void SendEntryList(instant aNow);
   void SendToExecutor(peer_id aExecutor, message aMessage);
   void SendConfigTo(peer_id aPeer, entry_peer& aState, instant aNow);
-  void DropSilentEntries(instant aNow);
+  void CheckEntryTimeouts(instant aNow);
 
   coordinator_settings mSettings;
   coordinator_adapter mAdapter;
--- a/shell/entry_daemon.cc
+++ b/shell/entry_daemon.cc
@@ -89,7 +89,7 @@
   mHttp =
     std::move(http_server::Create(
                 process.mHttp,
-                mSettings.mApi.mMaxBody,
+                mSettings.mApi.mMaxBodyBytes,
                 [this](http_exchange& aExchange) { OnRequest(aExchange); },
                 [this](uint64_t aId) {
                   mOpenRequests.erase(aId);
@@ -187,7 +187,7 @@
   open_request open = found->second;
   mOpenRequests.erase(found);
   http_answer answer;
-  answer.mStatus = StatusOf(aReply);
+  answer.mStatus = HttpStatusOf(aReply);
   answer.mRetryAfterMs = aReply.retry_after_ms;
   bool isRawAnswer = open.mRaw && aReply.error == 0 &&
                      aReply.state == uint8_t(job_state::Complete) &&
@@ -206,7 +206,7 @@
 }
 
 void
-entry_daemon::ChangeDone(const change_outcome& aOutcome)
+entry_daemon::OnChangeDone(const change_outcome& aOutcome)
 {
   http_answer answer;
   answer.mStatus = aOutcome.mAccepted ? 200 : HttpStatus(aOutcome.mError);
@@ -243,11 +243,11 @@
   } else if (method == "POST" && StartsWith(path, kRun)) {
     OnRun(aExchange, path.substr(kRun.size()));
   } else if (method == "GET" && path == "/v1/profiles") {
-    mHttp->Answer(id, { 200, RenderProfiles(mNode->Config().InForce()) });
+    mHttp->Answer(id, { 200, RenderProfiles(mNode->Config().Config()) });
   } else if (StartsWith(path, kProfile)) {
     OnProfile(aExchange, path.substr(kProfile.size()));
   } else if (method == "GET" && path == "/v1/teams") {
-    mHttp->Answer(id, { 200, RenderTeams(mNode->Config().InForce()) });
+    mHttp->Answer(id, { 200, RenderTeams(mNode->Config().Config()) });
   } else if (StartsWith(path, kTeam)) {
     OnTeam(aExchange, path.substr(kTeam.size()));
   } else if (method == "GET" && path == kAudit) {
@@ -280,7 +280,7 @@
 {
   if (mSettings.mTeamTokens.empty()) {
     std::string named = aExchange.Header("X-Team");
-    return named.empty() ? "default" : CheckKey(named, mSettings.mApi).Value();
+    return named.empty() ? "default" : ParseKey(named, mSettings.mApi).Value();
   }
   std::string holder = HolderOf(mSettings.mTeamTokens, BearerToken(aExchange));
   if (holder.empty()) {
@@ -309,7 +309,7 @@
 const profile&
 entry_daemon::ProfileOf(const std::string& aName) const
 {
-  const deployment_config& config = mNode->Config().InForce();
+  const deployment_config& config = mNode->Config().Config();
   auto found = config.mProfiles.find(aName);
   if (found == config.mProfiles.end()) {
     throw failure(
@@ -324,7 +324,7 @@
 {
   std::string given = aExchange.Header("Idempotency-Key");
   if (!given.empty()) {
-    return CheckKey(given, mSettings.mApi).Value();
+    return ParseKey(given, mSettings.mApi).Value();
   }
   if (!aProfile.mIdempotent) {
     // Without a key, a caller that loses the reply could only submit the job
@@ -365,7 +365,7 @@
   submitted.mKey = IdempotencyKeyOf(aExchange, chosenProfile);
   submitted.mId = mNode->IdentityOf(submitted.mTeam, submitted.mKey);
   submitted.mPayloads.push_back(aExchange.Body());
-  if (submitted.mPayloads[0].size() > mSettings.mApi.mMaxPayload) {
+  if (submitted.mPayloads[0].size() > mSettings.mApi.mMaxPayloadBytes) {
     throw failure(
       error_code::TooLarge, "read submission", "caller", "payload too large");
   }
@@ -405,7 +405,7 @@
 entry_daemon::SubmitChange(http_exchange& aExchange, config_change aChange)
 {
   aChange.mToken = aExchange.Id();
-  aChange.mWho = OperatorOf(aExchange);
+  aChange.mOperator = OperatorOf(aExchange);
   aChange.mReason = aExchange.Header("X-Reason");
   constexpr size_t kMaxReason = 500;
   if (aChange.mReason.empty() || aChange.mReason.size() > kMaxReason) {
@@ -545,7 +545,7 @@
     { "tasks_dispatched", "Tasks sent to workers.", counters.mDispatchedTasks },
     { "tasks_repeated",
       "Tasks dispatched again after a refusal.",
-      counters.mRepeatedTasks },
+      counters.mRequeuedTasks },
     { "tasks_refused", "Tasks refused by guards.", counters.mRefusedTasks },
     { "results", "Results received.", counters.mResultTasks },
     { "results_duplicate",
@@ -558,7 +558,7 @@
       counters.mAckMessages },
     { "settle_messages",
       "Queries for tasks in doubt.",
-      counters.mSettleMessages },
+      counters.mResolveMessages },
     { "cancel_messages", "Cancellations.", counters.mCancelMessages },
     { "fetch_messages", "Requests for results.", counters.mFetchMessages },
     { "lease_messages", "Lease requests.", counters.mLeaseMessages },
@@ -604,7 +604,7 @@
              double(mNode->OpenRequests()));
   page.Gauge("cactusmast_config_version",
              "Configuration version in force.",
-             double(mNode->Config().InForce().mVersion));
+             double(mNode->Config().Config().mVersion));
   AddProcessMetrics(&page);
   return { 200, page.Render(), "text/plain; version=0.0.4" };
 }
--- a/shell/entry_daemon.h
+++ b/shell/entry_daemon.h
@@ -34,7 +34,7 @@
   void OnPeerMessage(peer_id aPeer, const message& aMessage) override;
 
   void Reply(caller_id aCaller, const wire::job_reply_msg& aReply) override;
-  void ChangeDone(const change_outcome& aOutcome) override;
+  void OnChangeDone(const change_outcome& aOutcome) override;
 
   double NextUniform() override;
 
--- a/shell/executor_daemon.cc
+++ b/shell/executor_daemon.cc
@@ -135,7 +135,7 @@
             { { "peer", aIdentity.mName },
               { "incarnation", std::to_string(aIdentity.mIncarnation) } });
   mEntryPeers[aPeer] = aIdentity.mAddress;
-  mDirectory.OnUp(aIdentity.mAddress, Now());
+  mDirectory.OnConnected(aIdentity.mAddress, Now());
   mExecutor.OnEntryUp(aPeer, aIdentity.mName, Now());
   TickSoon();
 }
@@ -148,7 +148,7 @@
     return;
   }
   mLog.Emit(event_code::PeerDown, { { "peer", found->second } });
-  mDirectory.OnDown(found->second, Now());
+  mDirectory.OnDisconnected(found->second, Now());
   mEntryPeers.erase(found);
   mExecutor.OnEntryDown(aPeer, Now());
   TickSoon();
@@ -195,7 +195,7 @@
 {
   auto found = mEntryPeers.find(aEntry);
   if (found != mEntryPeers.end()) {
-    mDirectory.OnDown(found->second, Now());
+    mDirectory.OnDisconnected(found->second, Now());
     mEntryPeers.erase(found);
   }
   mTransport->Close(aEntry);
@@ -205,13 +205,13 @@
 void
 executor_daemon::ReadEntries(instant aNow)
 {
-  if (mDirectory.Connected() > 0 || mReadingEntries ||
+  if (mDirectory.ConnectedCount() > 0 || mReadingEntries ||
       aNow < mNextEntriesRead) {
     return;
   }
   mReadingEntries = true;
   mNextEntriesRead = aNow + kReadEntriesInterval;
-  mAdapter.mStore.ReadPart(
+  mAdapter.mStore.ReadPartition(
     mAdapter.mEntryTable, "", [this](const store_reply& aReply) {
       mReadingEntries = false;
       std::vector<std::string> addresses;
@@ -233,10 +233,10 @@
   }
   mReadingEvacuations = true;
   mNextEvacuationsRead = aNow + kReadEvacuationsInterval;
-  mAdapter.mStore.ReadPart(
+  mAdapter.mStore.ReadPartition(
     mAdapter.mConfigTable, "", [this](const store_reply& aReply) {
       mReadingEvacuations = false;
-      if (aReply.mStatus == store_status::Ok && !aReply.mMore) {
+      if (aReply.mStatus == store_status::Ok && !aReply.mHasMore) {
         instant now = Now();
         const evacuation_state& read =
           mEvacuationRows.Apply({ aReply.mRows, aReply.mVersion, true });
--- a/shell/guard_daemon.cc
+++ b/shell/guard_daemon.cc
@@ -231,7 +231,7 @@
                   { "config_version", mNode->ConfigVersion() },
                   { "leased", mNode->Leased(Now()) },
                   { "epoch", mNode->Epoch() },
-                  { "announced", mNode->Announced() },
+                  { "announced", mNode->IsAnnounced() },
                   { "slots", mNode->Backend().mSlots },
                   { "running", mNode->Running() },
                   { "started", mNode->Counters().mStarted },
--- a/shell/instance_daemon.cc
+++ b/shell/instance_daemon.cc
@@ -133,7 +133,7 @@
     return;
   }
   mNextDial = aNow + kDialCheckInterval;
-  for (const std::string& address : mDirectory.Due(aNow)) {
+  for (const std::string& address : mDirectory.AddressesToDial(aNow)) {
     if (aIsDialled(address)) {
       mTransport->Connect(address);
     }
