--- a/cactusmast/job_coordinator.cc
+++ b/cactusmast/job_coordinator.cc
@@ -165,7 +165,7 @@
 }
 
 double
-job_coordinator::ExpectedMs(const job& aJob, const job_step& aStep)
+job_coordinator::ExpectedRunMs(const job& aJob, const job_step& aStep)
 {
   return std::clamp(
     aJob.mRunTimeFactor * aStep.mDeclaredMs, kMinRunMs, kMaxRunMs);
@@ -284,7 +284,7 @@
       break;
   }
   bool completed = aOutcome.mEnding == job_ending::Completed;
-  (completed ? mCounters.mCompletedIn : mCounters.mOtherwiseIn)
+  (completed ? mCounters.mCompletedIn : mCounters.mOtherEndingsIn)
     .Observe(aNow - ended.mAcceptedAt);
   LogOutcome(ended, aOutcome, aNow);
   StopTasks(ended);
@@ -316,7 +316,7 @@
 }
 
 bool
-job_coordinator::MayHaveRun(const job& aJob) const
+job_coordinator::IsReservedOrDispatched(const job& aJob) const
 {
   if (aJob.mAnyStarted) {
     return true;
@@ -334,10 +334,10 @@
 job_outcome
 job_coordinator::ExpiryOf(const job& aJob, const std::string& aReason) const
 {
-  bool mayHaveRun = MayHaveRun(aJob);
-  return { mayHaveRun ? job_ending::Expired : job_ending::Refused,
+  bool reservedOrDispatched = IsReservedOrDispatched(aJob);
+  return { reservedOrDispatched ? job_ending::Expired : job_ending::Refused,
            aReason,
-           mayHaveRun ? duration{} : kCapacityRetryAfter };
+           reservedOrDispatched ? duration{} : kCapacityRetryAfter };
 }
 
 void
@@ -376,11 +376,12 @@
 }
 
 uint32_t
-job_coordinator::UnstartedJobs(const std::string& aRoute) const
+job_coordinator::UndispatchedJobs(const std::string& aRoute) const
 {
   uint32_t count = 0;
   for (const auto& [id, one] : mJobs) {
-    count += one.mRoute->mName == aRoute && !MayHaveRun(one) ? 1 : 0;
+    count +=
+      one.mRoute->mName == aRoute && !IsReservedOrDispatched(one) ? 1 : 0;
   }
   return count;
 }
--- a/cactusmast/job_coordinator.h
+++ b/cactusmast/job_coordinator.h
@@ -121,8 +121,8 @@
   uint64_t mAttempts = 0;   // tasks in them
   uint64_t mNotStarted = 0; // attempts that an executor did not start
   uint64_t mLost = 0;       // attempts orphaned by the loss of an executor
-  latency_histogram mCompletedIn; // from acceptance to the answer
-  latency_histogram mOtherwiseIn; // the same for all other endings
+  latency_histogram mCompletedIn;    // from acceptance to the answer
+  latency_histogram mOtherEndingsIn; // the same for all other endings
 };
 
 class job_coordinator
@@ -162,7 +162,7 @@
   size_t OpenJobs() const { return mJobs.size(); }
   size_t WaitingTasks() const { return mWaiting.size(); }
   // The number of open jobs of aRoute of which no task was dispatched.
-  uint32_t UnstartedJobs(const std::string& aRoute) const;
+  uint32_t UndispatchedJobs(const std::string& aRoute) const;
   // The number of connected executors whose backend server is ready.
   size_t ReadyServers() const;
   // The number of those that tasks are placed on.
@@ -220,7 +220,7 @@
 
   struct executor
   {
-    size_t mView = 0;                   // index in mViews
+    size_t mViewIndex = 0;              // index in mViews
     executor_subset* mSubset = nullptr; // null until its service is known
     instant mLastHeard{};
     instant mReportDueSince{}; // zero: no report is due
@@ -244,7 +244,7 @@
   const job& Admit(job_request& aRequest, instant aNow);
   // Sets the members of aJob that depend on the forecast by its caller timeout.
   void ApplyForecast(job& aJob, uint32_t aDeclaredMs, instant aNow);
-  static double ExpectedMs(const job& aJob, const job_step& aStep);
+  static double ExpectedRunMs(const job& aJob, const job_step& aStep);
   void ObserveRunTime(const job& aJob,
                       const task_key& aKey,
                       uint32_t aRunMs,
@@ -260,7 +260,7 @@
   // placed when they were last tried, so they are not tried again for each new
   // job.
   void PlaceNew(const job& aJob, instant aNow);
-  void PlaceKeys(const std::vector<task_key>& aOrder, instant aNow);
+  void RunPlacement(const std::vector<task_key>& aOrder, instant aNow);
   // Returns all tasks that are unplaced after it.
   std::vector<task_key> UnplacePartialJobs(
     const std::vector<task_key>& aUnplaced);
@@ -279,7 +279,7 @@
   std::vector<task_key> ShedLate(const std::vector<task_key>& aLate,
                                  instant aNow);
   // Returns the tasks that were not placed, in the same order.
-  std::vector<task_key> PlaceAll(const std::vector<task_key>& aOrder,
+  std::vector<task_key> TryPlace(const std::vector<task_key>& aOrder,
                                  placement_aim aAim,
                                  instant aNow);
   placement_verdict PlaceOne(job& aJob,
@@ -307,7 +307,9 @@
   void AddOpenTask(peer_id aPeer, const task_key& aKey, instant aNow);
   void RemoveOpenTask(peer_id aPeer, const task_key& aKey);
   void ExpectReport(executor& aExecutor, instant aNow);
-  task* CurrentAttempt(peer_id aPeer, const task_key& aKey, uint32_t aAttempt);
+  task* FindCurrentAttempt(peer_id aPeer,
+                           const task_key& aKey,
+                           uint32_t aAttempt);
   void OnTooSlow(peer_id aPeer,
                  const wire::task_forecast& aForecast,
                  instant aNow);
@@ -322,7 +324,7 @@
   // Whether any task of the job was ever dispatched.
   static bool IsDispatched(const job& aJob);
   // The same, but counts reserved tasks as well.
-  bool MayHaveRun(const job& aJob) const;
+  bool IsReservedOrDispatched(const job& aJob) const;
   // Refused if the job cannot have started, otherwise expired.
   job_outcome ExpiryOf(const job& aJob, const std::string& aReason) const;
   void ExpireJobs(instant aNow);
@@ -348,7 +350,7 @@
   std::vector<server_view> mViews;
   std::map<std::string, executor_subset> mSubsets; // by service
   evacuation_tracker mEvacuations;
-  slowness_range mSlowness; // of mViews, as of the latest placement
+  slowness_summary mSlowness; // of mViews, as of the latest placement
   instant mNextTimeoutCheck{};
   // Reports or waiting tasks have come since all waiting tasks were last tried.
   bool mCapacityChanged = false;
--- a/cactusmast/job_coordinator_evacuation.cc
+++ b/cactusmast/job_coordinator_evacuation.cc
@@ -63,7 +63,8 @@
   for (auto& [peer, peerState] : mExecutors) {
     peers.push_back(peer);
     if (peerState.mSubset != nullptr) {
-      peerState.mSubset->SetUsable(peer, IsUsable(mViews[peerState.mView]));
+      peerState.mSubset->SetUsable(peer,
+                                   IsUsable(mViews[peerState.mViewIndex]));
     }
   }
   // Sending may close a connection, which removes its executor.
@@ -95,7 +96,7 @@
       { "version", std::to_string(mEvacuations.State().mVersion) } });
   mAnswers.Answer(
     aRequest.mCaller,
-    { job_ending::Refused, kAllEvacuated, kRetryAfterEvacuation });
+    { job_ending::Refused, kAllEvacuated, kEvacuationRetryAfter });
   return true;
 }
 
@@ -104,7 +105,7 @@
 {
   std::vector<uint64_t> evacuatedJobs;
   for (const auto& [id, open] : mJobs) {
-    bool refused = !MayHaveRun(open) &&
+    bool refused = !IsReservedOrDispatched(open) &&
                    IsAllEvacuated(mViews, mEvacuations, open.mRoute->mService);
     if (refused) {
       evacuatedJobs.push_back(id);
@@ -112,7 +113,7 @@
   }
   for (uint64_t id : evacuatedJobs) {
     Finish(
-      id, { job_ending::Refused, kAllEvacuated, kRetryAfterEvacuation }, aNow);
+      id, { job_ending::Refused, kAllEvacuated, kEvacuationRetryAfter }, aNow);
   }
 }
 
--- a/cactusmast/job_coordinator_executors.cc
+++ b/cactusmast/job_coordinator_executors.cc
@@ -39,7 +39,7 @@
     }
   }
   executor& added = mExecutors[aPeer];
-  added.mView = mViews.size();
+  added.mViewIndex = mViews.size();
   added.mLastHeard = aNow;
   server_view view;
   view.mPeer = aPeer;
@@ -57,14 +57,14 @@
     return;
   }
   std::set<task_key> openTasks = std::move(found->second.mTasks);
-  size_t index = found->second.mView;
+  size_t index = found->second.mViewIndex;
   executor_subset* subset = found->second.mSubset;
   mExecutors.erase(found);
   mBusyExecutors.erase(aPeer);
   mViews.erase(mViews.begin() + long(index));
   for (auto& [peer, other] : mExecutors) {
-    if (other.mView > index) {
-      other.mView--;
+    if (other.mViewIndex > index) {
+      other.mViewIndex--;
     }
   }
   if (subset != nullptr) {
@@ -107,8 +107,8 @@
     unreported += size;
   }
   free -= unreported;
-  mViews[aExecutor.mView].mFree = free;
-  mViews[aExecutor.mView].mUnreportedCpuMillis = unreported.mCpuMillis;
+  mViews[aExecutor.mViewIndex].mFree = free;
+  mViews[aExecutor.mViewIndex].mUnreportedCpuMillis = unreported.mCpuMillis;
 }
 
 void
@@ -122,7 +122,7 @@
   }
   executor& peerState = found->second;
   peerState.mLastHeard = aNow;
-  server_view& view = mViews[peerState.mView];
+  server_view& view = mViews[peerState.mViewIndex];
   auto state = server_state(
     std::min<uint8_t>(aReport.state, uint8_t(server_state::Count) - 1));
   if (view.mState != state) {
@@ -173,7 +173,7 @@
   if (peerState.mTasks.empty()) {
     peerState.mReportDueSince = instant(0);
   }
-  server_view& view = mViews[peerState.mView];
+  server_view& view = mViews[peerState.mViewIndex];
   peerState.mSubset->SetUsable(aPeer, IsUsable(view));
   executor_subset::change change = peerState.mSubset->Update();
   view.mPlaceable = peerState.mSubset->Has(aPeer);
@@ -183,9 +183,9 @@
 // Null unless the task is placed at aPeer with this attempt. Reports may refer
 // to jobs that have ended and to earlier attempts.
 job_coordinator::task*
-job_coordinator::CurrentAttempt(peer_id aPeer,
-                                const task_key& aKey,
-                                uint32_t aAttempt)
+job_coordinator::FindCurrentAttempt(peer_id aPeer,
+                                    const task_key& aKey,
+                                    uint32_t aAttempt)
 {
   auto found = mJobs.find(aKey.mJob);
   bool known = found != mJobs.end() &&
@@ -209,15 +209,15 @@
                            instant aNow)
 {
   task_key key = KeyOf(aForecast);
-  task* current = CurrentAttempt(aPeer, key, aForecast.attempt());
+  task* current = FindCurrentAttempt(aPeer, key, aForecast.attempt());
   auto peerState = mExecutors.find(aPeer);
   if (current == nullptr || peerState == mExecutors.end()) {
     return;
   }
   job& owner = mJobs.at(key.mJob);
   task& one = *current;
-  one.mProgressEstimateMs =
-    uint32_t(aForecast.total_ms() / mViews[peerState->second.mView].mSlowness);
+  one.mProgressEstimateMs = uint32_t(
+    aForecast.total_ms() / mViews[peerState->second.mViewIndex].mSlowness);
   placement_request request = RequestFor(owner, key, aNow);
   request.mAvoid = aPeer;
   placement_decision decision = ChooseServer(mViews, request, mRandom);
@@ -228,7 +228,7 @@
     event_code::TaskTooSlow,
     { { "job", FormatJobId(key.mJob) },
       { "index", std::to_string(key.mIndex) },
-      { "server", mViews[peerState->second.mView].mName },
+      { "server", mViews[peerState->second.mViewIndex].mName },
       { "total_ms", std::to_string(aForecast.total_ms()) },
       { "left_ms", std::to_string(int(MsBetween(aNow, owner.mDeadline))) },
       { "declared_ms", std::to_string(request.mStep->mDeclaredMs) },
@@ -258,7 +258,7 @@
   task_key key = KeyOf(aEnd);
   RemoveOpenTask(aPeer, key);
   auto peerState = mExecutors.find(aPeer);
-  task* current = CurrentAttempt(aPeer, key, aEnd.attempt());
+  task* current = FindCurrentAttempt(aPeer, key, aEnd.attempt());
   if (current == nullptr) {
     return;
   }
@@ -268,7 +268,7 @@
   if (outcome == attempt_outcome::Done) {
     one.mState = task_state::Done;
     if (peerState != mExecutors.end()) {
-      double slowness = mViews[peerState->second.mView].mSlowness;
+      double slowness = mViews[peerState->second.mViewIndex].mSlowness;
       ObserveRunTime(owner, key, aEnd.run_ms(), slowness);
     }
     if (--owner.mUnfinishedTasks == 0) {
@@ -276,8 +276,9 @@
     }
     return;
   }
-  std::string server =
-    peerState == mExecutors.end() ? "" : mViews[peerState->second.mView].mName;
+  std::string server = peerState == mExecutors.end()
+                         ? ""
+                         : mViews[peerState->second.mViewIndex].mName;
   mEvents.Emit(event_code::AttemptEnded,
                { { "job", FormatJobId(key.mJob) },
                  { "server", server },
@@ -374,7 +375,7 @@
 void
 job_coordinator::AssignSubset(executor& aExecutor, const std::string& aService)
 {
-  const server_view& view = mViews[aExecutor.mView];
+  const server_view& view = mViews[aExecutor.mViewIndex];
   if (aExecutor.mSubset != nullptr) {
     aExecutor.mSubset->Remove(view.mPeer);
   }
@@ -399,7 +400,7 @@
   for (peer_id peer : aChange.mLeft) {
     auto found = mExecutors.find(peer);
     if (found != mExecutors.end()) {
-      mViews[found->second.mView].mPlaceable = false;
+      mViews[found->second.mViewIndex].mPlaceable = false;
       mLinks.Subscribe(peer, false);
     }
   }
@@ -448,7 +449,7 @@
   }
   for (peer_id peer : timedOut) {
     mEvents.Emit(event_code::PeerSilent,
-                 { { "peer", mViews[mExecutors[peer].mView].mName } });
+                 { { "peer", mViews[mExecutors[peer].mViewIndex].mName } });
     mLinks.Close(peer);
     OnExecutorDown(peer, aNow);
   }
--- a/cactusmast/job_coordinator_limits.h
+++ b/cactusmast/job_coordinator_limits.h
@@ -23,7 +23,7 @@
 
 // When a caller that was refused because of evacuations may retry. Evacuations
 // last for minutes, and their end is not known in advance.
-constexpr duration kRetryAfterEvacuation = milliseconds(5000);
+constexpr duration kEvacuationRetryAfter = milliseconds(5000);
 
 // An answer is worth nothing to its caller after this many times the objective.
 // No task is started that can only end later.
--- a/cactusmast/job_coordinator_placement.cc
+++ b/cactusmast/job_coordinator_placement.cc
@@ -14,7 +14,7 @@
 {
   const job_step& step = aJob.mSubmission.mSteps[aKey.mStep];
   instant latest =
-    aJob.mObjectiveAt - milliseconds(int64_t(ExpectedMs(aJob, step)));
+    aJob.mObjectiveAt - milliseconds(int64_t(ExpectedRunMs(aJob, step)));
   return { latest, aJob.mRoute->mPriority, aKey };
 }
 
@@ -40,7 +40,7 @@
   for (const waiting_key& key : mWaiting) {
     order.push_back(std::get<2>(key));
   }
-  PlaceKeys(order, aNow);
+  RunPlacement(order, aNow);
 }
 
 void
@@ -52,11 +52,11 @@
       order.push_back({ aJob.mId, uint32_t(s), uint32_t(i) });
     }
   }
-  PlaceKeys(order, aNow);
+  RunPlacement(order, aNow);
 }
 
 void
-job_coordinator::PlaceKeys(const std::vector<task_key>& aOrder, instant aNow)
+job_coordinator::RunPlacement(const std::vector<task_key>& aOrder, instant aNow)
 {
   for (server_view& view : mViews) {
     view.mAgeMs = MsBetween(view.mReportedAt, aNow);
@@ -67,10 +67,10 @@
   // has built up.
   bool timelyFirst = mMechanisms.Has(mechanism::TimelyFirst);
   std::vector<task_key> late =
-    timelyFirst ? PlaceAll(aOrder, placement_aim::InObjective, aNow) : aOrder;
+    timelyFirst ? TryPlace(aOrder, placement_aim::InObjective, aNow) : aOrder;
   late = UnplacePartialJobs(late);
   std::vector<task_key> unplaced =
-    PlaceAll(ShedLate(late, aNow), placement_aim::BeforeDeadline, aNow);
+    TryPlace(ShedLate(late, aNow), placement_aim::BeforeDeadline, aNow);
   SendDispatches(aNow);
   ResizeSubsets(unplaced, aNow);
   std::set<uint64_t> infeasible = std::move(mInfeasibleJobs);
@@ -98,7 +98,8 @@
   for (const task_key& key : aUnplaced) {
     job& owner = mJobs.at(key.mJob);
     bool alreadySeen = !seenJobs.insert(key.mJob).second;
-    bool partial = !alreadySeen && !IsDispatched(owner) && MayHaveRun(owner);
+    bool partial =
+      !alreadySeen && !IsDispatched(owner) && IsReservedOrDispatched(owner);
     if (partial && MayWaitForAll(owner, CapacityFor(owner, &capacities))) {
       Unplace(owner, &unplaced);
     }
@@ -131,7 +132,7 @@
       continue;
     }
     const resources& size = aJob.mSubmission.mSteps[stepNumber].mSize;
-    server_view& view = mViews[mExecutors.at(peer).mView];
+    server_view& view = mViews[mExecutors.at(peer).mViewIndex];
     for (uint32_t index : at->second) {
       view.mFree += size;
       view.mUnreportedCpuMillis -= size.mCpuMillis;
@@ -173,7 +174,8 @@
   for (const task_key& key : aLate) {
     const job& owner = mJobs.at(key.mJob);
     const service_capacity& capacity = CapacityFor(owner, &capacities);
-    if (MayHaveRun(owner) || capacity.FreeShare() >= kScarceFreeShare) {
+    if (IsReservedOrDispatched(owner) ||
+        capacity.FreeShare() >= kScarceFreeShare) {
       remaining.push_back(key);
       continue;
     }
@@ -199,7 +201,7 @@
 }
 
 std::vector<task_key>
-job_coordinator::PlaceAll(const std::vector<task_key>& aOrder,
+job_coordinator::TryPlace(const std::vector<task_key>& aOrder,
                           placement_aim aAim,
                           instant aNow)
 {
@@ -250,7 +252,7 @@
   request.mStep = &aJob.mSubmission.mSteps[aKey.mStep];
   bool hasProgress = one.mProgressEstimateMs > 0;
   request.mEstimateMs =
-    hasProgress ? one.mProgressEstimateMs : ExpectedMs(aJob, *request.mStep);
+    hasProgress ? one.mProgressEstimateMs : ExpectedRunMs(aJob, *request.mStep);
   request.mEstimateSigma = hasProgress ? kProgressSigma : aJob.mRunSigma;
   request.mService = aJob.mRoute->mService;
   request.mDataCenter = mDataCenter;
@@ -281,7 +283,7 @@
   if (decision.mVerdict != placement_verdict::Place) {
     return decision.mVerdict;
   }
-  server_view& view = mViews[decision.mChoice.mView];
+  server_view& view = mViews[decision.mChoice.mViewIndex];
   view.mFree -= step.mSize;
   view.mUnreportedCpuMillis += step.mSize.mCpuMillis;
   mWaiting.erase(WaitingKey(aJob, aKey));
@@ -310,7 +312,7 @@
     dispatch.spec = owner.mSubmission.mSpec;
     dispatch.cpu_millis = uint32_t(step.mSize.mCpuMillis);
     dispatch.memory_mb = uint32_t(step.mSize.mMemoryMb);
-    dispatch.gpus = uint32_t(step.mSize.mGpus);
+    dispatch.gpus = uint32_t(step.mSize.mAccelerators);
     dispatch.estimate_ms = estimateMs;
     dispatch.declared_ms = step.mDeclaredMs;
     dispatch.urgent_in_ms = int32_t(
@@ -332,12 +334,13 @@
     mEvents.Emit(
       event_code::TasksPlaced,
       { { "job", FormatJobId(id) },
-        { "server", mViews[peerState.mView].mName },
+        { "server", mViews[peerState.mViewIndex].mName },
         { "tasks", std::to_string(indexes.size()) },
         { "free_cpu_millis",
-          std::to_string(mViews[peerState.mView].mFree.mCpuMillis) },
+          std::to_string(mViews[peerState.mViewIndex].mFree.mCpuMillis) },
         { "age_ms",
-          std::to_string(ToMs(aNow - mViews[peerState.mView].mReportedAt)) } });
+          std::to_string(
+            ToMs(aNow - mViews[peerState.mViewIndex].mReportedAt)) } });
     mLinks.SendDispatch(peer, std::move(dispatch));
   }
   mPendingDispatches.clear();
--- a/cactusmast/placement.cc
+++ b/cactusmast/placement.cc
@@ -106,7 +106,7 @@
 
 } // namespace
 
-slowness_range
+slowness_summary
 SlownessOf(const std::vector<server_view>& aViews)
 {
   std::vector<double> slownesses;
--- a/cactusmast/placement.h
+++ b/cactusmast/placement.h
@@ -96,7 +96,7 @@
 
 struct placement_choice
 {
-  size_t mView = 0; // index in the views that were passed
+  size_t mViewIndex = 0; // index in the views that were passed
   placement_forecast mForecast;
 };
 
@@ -127,13 +127,13 @@
 
 // The slowness of all ready backend servers that tasks can be placed on; 1 if
 // there are none.
-struct slowness_range
+struct slowness_summary
 {
   double mMin = 1;
   double mMedian = 1;
 };
 
-slowness_range
+slowness_summary
 SlownessOf(const std::vector<server_view>& aViews);
 
 // False if a backend server of aSlowness would probably end the task after its
--- a/cactusmast/server_record.cc
+++ b/cactusmast/server_record.cc
@@ -13,7 +13,7 @@
   record.born_ms = aServer.mStartTimeMs;
   record.cpu_millis = aServer.mCapacity.mCpuMillis;
   record.memory_mb = aServer.mCapacity.mMemoryMb;
-  record.gpus = aServer.mCapacity.mGpus;
+  record.gpus = aServer.mCapacity.mAccelerators;
   record.labels = aServer.mLabels;
   std::string bytes;
   EncodeFrame(MakeMessage(std::move(record)), &bytes);
--- a/cactusmast/server_record.h
+++ b/cactusmast/server_record.h
@@ -9,7 +9,7 @@
 //
 // The record is a hint: the executor uses it only for the incarnation of the
 // backend server that it names, and only for a limited time unless an
-// announcement follows (task_executor::OnServerRestored).
+// announcement follows (task_executor::OnAnnouncementRestored).
 
 #ifndef CACTUSMAST_SERVER_RECORD_H_
 #define CACTUSMAST_SERVER_RECORD_H_
--- a/cactusmast/sized_task.h
+++ b/cactusmast/sized_task.h
@@ -23,25 +23,26 @@
 {
   int64_t mCpuMillis = 0; // thousandths of a core
   int64_t mMemoryMb = 0;
-  int64_t mGpus = 0;
+  int64_t mAccelerators = 0;
 
   bool FitsIn(const resources& aCapacity) const
   {
     return mCpuMillis <= aCapacity.mCpuMillis &&
-           mMemoryMb <= aCapacity.mMemoryMb && mGpus <= aCapacity.mGpus;
+           mMemoryMb <= aCapacity.mMemoryMb &&
+           mAccelerators <= aCapacity.mAccelerators;
   }
   resources& operator+=(const resources& aOther)
   {
     mCpuMillis += aOther.mCpuMillis;
     mMemoryMb += aOther.mMemoryMb;
-    mGpus += aOther.mGpus;
+    mAccelerators += aOther.mAccelerators;
     return *this;
   }
   resources& operator-=(const resources& aOther)
   {
     mCpuMillis -= aOther.mCpuMillis;
     mMemoryMb -= aOther.mMemoryMb;
-    mGpus -= aOther.mGpus;
+    mAccelerators -= aOther.mAccelerators;
     return *this;
   }
 };
--- a/cactusmast/speed_estimate.h
+++ b/cactusmast/slowness_estimate.h
@@ -2,20 +2,20 @@
 // ended there over the run times that their callers declared. Older tasks
 // decay.
 //
-//   speed_estimate speed;
-//   speed.Observe(90, 60);
-//   double slowness = speed.Slowness(); // above 1: slower than declared
+//   slowness_estimate estimate;
+//   estimate.Observe(90, 60);
+//   double slowness = estimate.Slowness(); // above 1: slower than declared
 
-#ifndef CACTUSMAST_SPEED_ESTIMATE_H_
-#define CACTUSMAST_SPEED_ESTIMATE_H_
+#ifndef CACTUSMAST_SLOWNESS_ESTIMATE_H_
+#define CACTUSMAST_SLOWNESS_ESTIMATE_H_
 
 namespace cactusmast {
 
-class speed_estimate
+class slowness_estimate
 {
 public:
   // aPrior: the slowness before any observation.
-  explicit speed_estimate(double aPrior = 1)
+  explicit slowness_estimate(double aPrior = 1)
     : mPrior(aPrior)
   {
   }
@@ -44,4 +44,4 @@
 
 } // namespace cactusmast
 
-#endif // CACTUSMAST_SPEED_ESTIMATE_H_
+#endif // CACTUSMAST_SLOWNESS_ESTIMATE_H_
--- a/cactusmast/task_executor.cc
+++ b/cactusmast/task_executor.cc
@@ -170,10 +170,10 @@
   added.mEstimateMs = aDispatch.estimate_ms;
   added.mDeclaredMs =
     aDispatch.declared_ms > 0 ? aDispatch.declared_ms : aDispatch.estimate_ms;
-  added.mUrgentAt = aNow + milliseconds(aDispatch.urgent_in_ms);
+  added.mLatestStart = aNow + milliseconds(aDispatch.urgent_in_ms);
   added.mStartBy = startBy;
   added.mStopBy = aNow + milliseconds(aDispatch.stop_after_ms);
-  mQueue.insert({ added.mUrgentAt, key });
+  mQueue.insert({ added.mLatestStart, key });
   mEntries[aEntry].mOpenTasks++;
 }
 
@@ -286,7 +286,7 @@
   } else {
     total = duration(int64_t(aTask.mEstimateMs * Slowness() * 1000));
   }
-  return std::max(aTask.mStartSentAt + total, aNow + kOverdueEnd);
+  return std::max(aTask.mStartSentAt + total, aNow + kMinRemainingRun);
 }
 
 instant
@@ -332,7 +332,7 @@
   auto count = int64_t(running);
   return { used.mCpuMillis / count,
            used.mMemoryMb / count,
-           used.mGpus / count };
+           used.mAccelerators / count };
 }
 
 bool
@@ -375,7 +375,7 @@
   auto found = mTasks.find(aKey);
   task& tracked = found->second;
   if (tracked.mState == task_state::Queued) {
-    mQueue.erase({ tracked.mUrgentAt, aKey });
+    mQueue.erase({ tracked.mLatestStart, aKey });
   } else {
     mFree += tracked.mSize;
     if (mLastRunNumbers.emplace(aKey, tracked.mRunNumber).second) {
@@ -490,10 +490,10 @@
   report.service = mService;
   report.cpu_millis = uint32_t(mServer.mCapacity.mCpuMillis);
   report.memory_mb = uint32_t(mServer.mCapacity.mMemoryMb);
-  report.gpus = uint32_t(mServer.mCapacity.mGpus);
+  report.gpus = uint32_t(mServer.mCapacity.mAccelerators);
   report.free_cpu_millis = mHasStrays ? 0 : int32_t(mFree.mCpuMillis);
   report.free_memory_mb = int32_t(mFree.mMemoryMb);
-  report.free_gpus = int32_t(mFree.mGpus);
+  report.free_gpus = int32_t(mFree.mAccelerators);
   uint64_t queued = 0;
   for (const auto& [urgent, key] : mQueue) {
     queued += uint64_t(mTasks.at(key).mSize.mCpuMillis);
--- a/cactusmast/task_executor.h
+++ b/cactusmast/task_executor.h
@@ -35,7 +35,7 @@
 #include "cactusmast/mechanisms.h"
 #include "cactusmast/ports.h"
 #include "cactusmast/sized_task.h"
-#include "cactusmast/speed_estimate.h"
+#include "cactusmast/slowness_estimate.h"
 
 namespace cactusmast {
 
@@ -53,7 +53,7 @@
 // long enough for three polls.
 constexpr milliseconds kLeaseTime = milliseconds(500);
 constexpr milliseconds kMinPollWait = milliseconds(30);
-constexpr milliseconds kLongPollWait = milliseconds(100);
+constexpr milliseconds kMaxBusyPollWait = milliseconds(100);
 constexpr milliseconds kIdlePollWait = milliseconds(200);
 // A poll without a reply this long after its wait is taken to be lost, and
 // another is sent: without a reply, neither ends nor free capacity are known.
@@ -111,7 +111,7 @@
   // The last announcement that an earlier executor process received, restored
   // from the store. It is used until an announcement comes, for
   // kRestoredLifetime at most, and only for the incarnation that it names.
-  void OnServerRestored(const server_announcement& aServer, instant aNow);
+  void OnAnnouncementRestored(const server_announcement& aServer, instant aNow);
   // The newest announcement. Null before the first one; a restored one does not
   // count.
   const server_announcement* Announcement() const;
@@ -172,7 +172,7 @@
     task_state mState = task_state::Queued;
     uint32_t mEstimateMs = 0; // run time forecast by the entry
     uint32_t mDeclaredMs = 0; // run time declared by the caller
-    instant mUrgentAt{};      // the earliest goes first
+    instant mLatestStart{};   // the earliest goes first
     instant mStartBy{};       // if queued until then, it is returned
     instant mStopBy{};        // if running then, it is stopped
     instant mStartSentAt{};   // 0: not started
@@ -309,8 +309,8 @@
   bool mHasStrays = true;         // assumed until the first poll reply
   std::map<task_key, instant> mStrayStops; // when each is stopped again
 
-  speed_estimate mSpeed;
-  speed_estimate mColdSpeed; // while the backend server is cold
+  slowness_estimate mSlowness;
+  slowness_estimate mColdSlowness; // while the backend server is cold
   bool mCold = false;
   instant mColdUntil{};
   double mMeanRunMs = 0;       // 0: no task has succeeded yet
--- a/cactusmast/task_executor_limits.h
+++ b/cactusmast/task_executor_limits.h
@@ -57,7 +57,7 @@
 constexpr uint32_t kMinProgressPercent = 5;
 // Minimum of the expected remaining run time. A task that runs longer than its
 // forecast ends soon, or the forecast was wrong.
-constexpr duration kOverdueEnd = milliseconds(10);
+constexpr duration kMinRemainingRun = milliseconds(10);
 // An evacuation must take effect within seconds. Entries get an update from the
 // store at least every 1.5 s. If none of those that dispatch here has had one
 // for this long, the executor reads the store itself.
--- a/cactusmast/task_executor_polls.cc
+++ b/cactusmast/task_executor_polls.cc
@@ -31,10 +31,10 @@
   if (Running() == 0) {
     return kIdlePollWait;
   }
-  instant next = aNow + kLongPollWait;
+  instant next = aNow + kMaxBusyPollWait;
   for (const auto& [key, tracked] : mTasks) {
     if (tracked.mState != task_state::Queued) {
-      next = std::min(next, ExpectedEnd(tracked, aNow) + kOverdueEnd);
+      next = std::min(next, ExpectedEnd(tracked, aNow) + kMinRemainingRun);
     }
   }
   auto wait = std::chrono::duration_cast<milliseconds>(next - aNow);
@@ -246,7 +246,7 @@
   EndAllStarted(attempt_outcome::Lost, aNow);
   mFailuresInRow = 0;
   mQuarantinedUntil = instant(0);
-  mSpeed = speed_estimate();
+  mSlowness = slowness_estimate();
 }
 
 void
@@ -300,7 +300,8 @@
   // Compared with declared run times, because entries make their forecasts from
   // this speed: compared with forecasts, both would drift together.
   bool startedCold = aTask.mStartSentAt < mColdUntil;
-  (startedCold ? mColdSpeed : mSpeed).Observe(ranMs, double(aTask.mDeclaredMs));
+  (startedCold ? mColdSlowness : mSlowness)
+    .Observe(ranMs, double(aTask.mDeclaredMs));
 }
 
 double
@@ -309,7 +310,7 @@
   if (!mMechanisms.Has(mechanism::LearnedSpeed)) {
     return 1;
   }
-  return mCold ? mColdSpeed.Slowness() : mSpeed.Slowness();
+  return mCold ? mColdSlowness.Slowness() : mSlowness.Slowness();
 }
 
 // A cold backend server is slow for a while; by how much is only known from its
@@ -323,7 +324,7 @@
   }
   mCold = cold;
   if (cold) {
-    mColdSpeed = speed_estimate(mSpeed.Slowness());
+    mColdSlowness = slowness_estimate(mSlowness.Slowness());
   }
   mEvents.Emit(event_code::BackendCold,
                { { "server", mServer.mId },
--- a/cactusmast/task_executor_restore.cc
+++ b/cactusmast/task_executor_restore.cc
@@ -9,8 +9,8 @@
 using namespace detail;
 
 void
-task_executor::OnServerRestored(const server_announcement& aServer,
-                                instant aNow)
+task_executor::OnAnnouncementRestored(const server_announcement& aServer,
+                                      instant aNow)
 {
   bool otherIncarnation =
     mServerStartTimeMs != 0 && mServerStartTimeMs != aServer.mStartTimeMs;
--- a/cactusmast/testing/executor_subset_test.cc
+++ b/cactusmast/testing/executor_subset_test.cc
@@ -14,7 +14,7 @@
 using std::chrono::seconds;
 
 constexpr double kAmpleFreeShare = 0.7;
-constexpr double kScarceFreeShare = 0.05;
+constexpr double kLowFreeShare = 0.05;
 
 std::string
 ExecutorName(peer_id aPeer)
@@ -116,7 +116,7 @@
   subset.Update();
   for (int i = 0; i < 100; i++) {
     now += milliseconds(20);
-    subset.AdjustSize(kScarceFreeShare, false, now);
+    subset.AdjustSize(kLowFreeShare, false, now);
     subset.Update();
   }
   CHECK(Members(subset, 500).size() == kMaxSubsetSize);
@@ -141,7 +141,7 @@
   executor_subset subset = MakeSubset("entry", 500, 1);
   subset.Update();
   instant now = seconds(1);
-  subset.AdjustSize(kScarceFreeShare, false, now);
+  subset.AdjustSize(kLowFreeShare, false, now);
   size_t grownSize = subset.Size();
   CHECK(grownSize > kMinSubsetSize);
   subset.AdjustSize(kAmpleFreeShare, false, now + seconds(2));
--- a/cactusmast/testing/instance_parts_test.cc
+++ b/cactusmast/testing/instance_parts_test.cc
@@ -221,7 +221,7 @@
   placement_decision decision =
     ChooseServer(views, RequestOf(step, 1500), random);
   CHECK(decision.mVerdict == placement_verdict::Place);
-  CHECK(decision.mChoice.mView == 1);
+  CHECK(decision.mChoice.mViewIndex == 1);
   views[1].mFree.mCpuMillis = 0;
   CHECK(ChooseServer(views, RequestOf(step, 1500), random).mVerdict ==
         placement_verdict::Wait);
@@ -238,9 +238,10 @@
   placement_decision decision =
     ChooseServer(views, RequestOf(step, 400), random);
   CHECK(decision.mVerdict == placement_verdict::Place);
-  CHECK(decision.mChoice.mView == 0);
+  CHECK(decision.mChoice.mViewIndex == 0);
   views[1].mFree.mCpuMillis = 30000;
-  CHECK(ChooseServer(views, RequestOf(step, 400), random).mChoice.mView == 1);
+  CHECK(ChooseServer(views, RequestOf(step, 400), random).mChoice.mViewIndex ==
+        1);
 }
 
 TEST_CASE("a task that no server can end in time is infeasible at once")
--- a/cactusmast/testing/server_record_test.cc
+++ b/cactusmast/testing/server_record_test.cc
@@ -146,7 +146,7 @@
   CHECK(read.mStartTimeMs == server.mStartTimeMs);
   CHECK(read.mCapacity.mCpuMillis == 16000);
   CHECK(read.mCapacity.mMemoryMb == 1000);
-  CHECK(read.mCapacity.mGpus == 2);
+  CHECK(read.mCapacity.mAccelerators == 2);
   CHECK(read.mLabels == server.mLabels);
   const std::string unreadable[] = { "",
                                      "x",
@@ -199,7 +199,7 @@
   // up.
   new_process world;
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
-  world.mExecutor.OnServerRestored(SampleAnnouncement(), world.mNow);
+  world.mExecutor.OnAnnouncementRestored(SampleAnnouncement(), world.mNow);
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
   world.ReplyToPoll(5);
   CHECK(world.mExecutor.State(world.mNow) == server_state::Ready);
@@ -220,22 +220,22 @@
   // The machine was replaced by a smaller one at the same address while the
   // executor was down. Tasks placed by the old capacity would overload it.
   new_process world;
-  world.mExecutor.OnServerRestored(SampleAnnouncement(), world.mNow);
+  world.mExecutor.OnAnnouncementRestored(SampleAnnouncement(), world.mNow);
   world.Advance(milliseconds(50), 6);
   CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
 
   new_process polledFirst;
   polledFirst.ReplyToPoll(6);
-  polledFirst.mExecutor.OnServerRestored(SampleAnnouncement(),
-                                         polledFirst.mNow);
+  polledFirst.mExecutor.OnAnnouncementRestored(SampleAnnouncement(),
+                                               polledFirst.mNow);
   polledFirst.Advance(milliseconds(50), 6);
   CHECK(polledFirst.mExecutor.State(polledFirst.mNow) == server_state::Absent);
 
   // The incarnation of a backend server that reports no start time cannot be
   // verified.
   new_process unidentified;
-  unidentified.mExecutor.OnServerRestored(SampleAnnouncement(),
-                                          unidentified.mNow);
+  unidentified.mExecutor.OnAnnouncementRestored(SampleAnnouncement(),
+                                                unidentified.mNow);
   unidentified.Advance(milliseconds(50), 0);
   CHECK(unidentified.mExecutor.State(unidentified.mNow) ==
         server_state::Absent);
@@ -248,7 +248,7 @@
   // because the store was unavailable. The backend server still replies to
   // polls but no longer announces itself; it must not get new tasks for long.
   new_process world;
-  world.mExecutor.OnServerRestored(SampleAnnouncement(), world.mNow);
+  world.mExecutor.OnAnnouncementRestored(SampleAnnouncement(), world.mNow);
   world.Advance(seconds(2));
   CHECK(world.mExecutor.State(world.mNow) == server_state::Ready);
   world.Advance(seconds(2));
--- a/shell/coordinator_daemon.cc
+++ b/shell/coordinator_daemon.cc
@@ -537,7 +537,7 @@
                  counts.mCompletedIn);
   aPage->Latency("cactusmast_job_otherwise_seconds",
                  "From acceptance to the answer of all other jobs.",
-                 counts.mOtherwiseIn);
+                 counts.mOtherEndingsIn);
   aPage->Counter("cactusmast_orders_sent",
                  "Messages that dispatched tasks.",
                  double(counts.mDispatches));
--- a/shell/coordinator_requests.cc
+++ b/shell/coordinator_requests.cc
@@ -131,7 +131,7 @@
     Reply(aExchange.Id(),
           SOUP_STATUS_OK,
           mAdapter.mCallers.EncodeQueueLength(
-            mCoordinator.UnstartedJobs(matched->mName)));
+            mCoordinator.UndispatchedJobs(matched->mName)));
     return;
   }
   uint64_t job = 0;
--- a/shell/executor_daemon.cc
+++ b/shell/executor_daemon.cc
@@ -110,7 +110,7 @@
               { { "peer", "store" }, { "text", record.Error().what() } });
     return;
   }
-  mExecutor.OnServerRestored(record.Value(), Now());
+  mExecutor.OnAnnouncementRestored(record.Value(), Now());
   TickSoon();
 }
 
