--- a/cactusmast/backend_runner.h
+++ b/cactusmast/backend_runner.h
@@ -59,7 +59,7 @@
   Count
 };
 
-// As used in log fields.
+// The name used in logs.
 std::string_view
 Name(start_result aResult);
 
@@ -132,7 +132,7 @@
   virtual void Start(const start_request& aRequest) = 0;
   virtual void Stop(const stop_request& aRequest) = 0;
   virtual void Poll(const poll_request& aRequest) = 0;
-  // Names the instance that later requests are meant for; empty: any.
+  // Names the incarnation that later start requests are meant for; empty: any.
   virtual void ExpectInstance(const std::string& aServerId) = 0;
 };
 
--- a/cactusmast/executor_subset.cc
+++ b/cactusmast/executor_subset.cc
@@ -16,7 +16,8 @@
 constexpr size_t kShrinkDivisor = 8;
 // New members have sent their first reports by then.
 constexpr duration kGrowInterval = milliseconds(20);
-// The load varies in waves of a few seconds.
+// Longer than the usual variation of the load, which takes a few seconds, so
+// that the subset does not shrink and grow with it.
 constexpr duration kShrinkAfter = milliseconds(5000);
 constexpr duration kShrinkInterval = milliseconds(1000);
 
--- a/cactusmast/instance_settings.h
+++ b/cactusmast/instance_settings.h
@@ -30,7 +30,7 @@
   std::string mMetrics;       // HOST:PORT that serves metrics
   std::string mSharedKey;     // processes prove to each other that they know it
   uint32_t mStopWithinMs = 0; // from the signal to the end of the drain
-  mechanism_set mMechanisms;  // all except in measurements
+  mechanism_set mMechanisms;  // enabled ones; all by default
 
   std::string PeerAddress() const { return AddressAt(mHost); }
   std::vector<std::string> SeedAddresses() const;
--- a/cactusmast/job_coordinator.h
+++ b/cactusmast/job_coordinator.h
@@ -165,7 +165,8 @@
   uint32_t UndispatchedJobs(const std::string& aRoute) const;
   // The number of connected executors whose backend server is ready.
   size_t ReadyServers() const;
-  // The number of those that tasks are placed on.
+  // The number of ready backend servers in the subsets, on which tasks are
+  // placed.
   size_t PlaceableServers() const;
   // Executors with open tasks, which have to get heartbeats.
   const std::set<peer_id>& BusyExecutors() const { return mBusyExecutors; }
@@ -188,7 +189,7 @@
     peer_id mExecutor = 0; // 0: neither reserved nor placed
     uint32_t mAttempt = 0; // number of the latest attempt; 0: none yet
     uint32_t mFailures = 0;
-    // Run time on a backend server of ordinary speed; 0: no estimate yet.
+    // Run time on a backend server with a slowness of 1; 0: no estimate yet.
     uint32_t mProgressEstimateMs = 0;
     peer_id mAvoid = 0; // where an attempt ended without success; 0: none
     instant mOrphanedUntil{};
@@ -244,6 +245,7 @@
   const job& Admit(job_request& aRequest, instant aNow);
   // Sets the members of aJob that depend on the forecast by its caller timeout.
   void ApplyForecast(job& aJob, uint32_t aDeclaredMs, instant aNow);
+  // The forecast run time of a task on a backend server with a slowness of 1.
   static double ExpectedRunMs(const job& aJob, const job_step& aStep);
   void ObserveRunTime(const job& aJob,
                       const task_key& aKey,
@@ -260,22 +262,24 @@
   // placed when they were last tried, so they are not tried again for each new
   // job.
   void PlaceNew(const job& aJob, instant aNow);
+  // Places the tasks of aOrder, sends the dispatches and ends the jobs that are
+  // refused or infeasible.
   void RunPlacement(const std::vector<task_key>& aOrder, instant aNow);
   // Returns all tasks that are unplaced after it.
   std::vector<task_key> UnplacePartialJobs(
     const std::vector<task_key>& aUnplaced);
   // Undoes the reservations of aJob and adds its tasks to aUnplaced.
   void Unplace(job& aJob, std::vector<task_key>* aUnplaced);
-  // Whether the capacity that stays idle while aJob waits until all its tasks
-  // fit is small.
+  // Whether free capacity is scarce and aJob, waiting until all its tasks fit,
+  // keeps little of it idle.
   static bool MayWaitForAll(const job& aJob, const service_capacity& aCapacity);
   // aCapacities: capacities computed so far, by service.
   const service_capacity& CapacityFor(
     const job& aJob,
     std::map<std::string_view, service_capacity>* aCapacities) const;
   // While free capacity is scarce, refuses jobs that would be late and leaves
-  // those that can still meet their objective waiting. Returns the tasks of all
-  // other jobs.
+  // those waiting that can still meet their objective, if that keeps little
+  // capacity idle (MayWaitForAll). Returns the tasks of all other jobs.
   std::vector<task_key> ShedLate(const std::vector<task_key>& aLate,
                                  instant aNow);
   // Returns the tasks that were not placed, in the same order.
@@ -307,6 +311,7 @@
   void AddOpenTask(peer_id aPeer, const task_key& aKey, instant aNow);
   void RemoveOpenTask(peer_id aPeer, const task_key& aKey);
   void ExpectReport(executor& aExecutor, instant aNow);
+  // Null unless aAttempt is the task's current attempt and was sent to aPeer.
   task* FindCurrentAttempt(peer_id aPeer,
                            const task_key& aKey,
                            uint32_t aAttempt);
--- a/cactusmast/job_coordinator_placement.cc
+++ b/cactusmast/job_coordinator_placement.cc
@@ -181,8 +181,9 @@
     }
     // The job may be late only because the backend servers that can meet its
     // objective have no free capacity at present. It waits for them until it
-    // would be late anywhere: on other backend servers it would take the
-    // capacity of a job that can meet its objective there.
+    // would be late on a backend server with a slowness of 1: on other backend
+    // servers it would take the capacity of a job that can meet its objective
+    // there.
     bool late = std::get<0>(WaitingKey(owner, key)) <= aNow;
     if (late) {
       shed.insert(key.mJob);
--- a/cactusmast/mechanisms.h
+++ b/cactusmast/mechanisms.h
@@ -25,7 +25,8 @@
                   // scarce
   SlowTaskMoves,  // tasks that run too slowly are restarted elsewhere
   ScarcityPrice,  // the last free capacity of fast backend servers costs more
-  StuckLimit,     // limits how many unplaced steps are tried at a time
+  StuckLimit,     // limits the unplaced steps tried at a time
+                  // (kMaxUnplacedSteps)
   ExecutorSubset, // tasks are placed on a subset of the executors
 
   // At executors.
--- a/cactusmast/placement.h
+++ b/cactusmast/placement.h
@@ -40,7 +40,7 @@
   // dispatched and that the report does not account for.
   resources mFree;
   int64_t mQueuedCpuMillis = 0; // of the tasks that the executor has queued
-  double mSlowness = 1.0;       // run time over estimate
+  double mSlowness = 1.0;       // run time over the declared one
   double mMeanRunMs = 0;    // of tasks that ended there recently; 0: none yet
   double mStartDelayMs = 0; // from the report until another task would start
   double mAgeMs = 0;        // of the report
@@ -66,7 +66,7 @@
 {
   placement_aim mAim = placement_aim::BeforeDeadline;
   const job_step* mStep = nullptr;
-  double mEstimateMs = 0; // on a backend server of ordinary speed
+  double mEstimateMs = 0; // on a backend server with a slowness of 1
   // Standard deviation of the logarithm of run time over estimate.
   double mEstimateSigma = 0;
   std::string mService;
@@ -75,13 +75,15 @@
   double mRemoteDataFactor = 1.0; // run time away from the data over near it
   double mDeadlineMs = 0;         // from now
   // The objective, from now, is mObjectiveBaseMs plus the run time on a
-  // backend server of ordinary speed times mObjectiveStretch.
+  // backend server with a slowness of 1 times mObjectiveStretch.
   double mObjectiveBaseMs = 0;
   double mObjectiveStretch = 1;
   // From SlownessOf. It is the same for many requests and therefore not
   // computed for each.
   double mMedianSlowness = 1;
-  bool mUseScarcityCost = true; // for the last capacity of fast servers
+  // Whether the last free capacity of fast backend servers has an additional
+  // cost. mechanism::ScarcityPrice enables this cost.
+  bool mUseScarcityCost = true;
 };
 
 // The expected result of placing a task on one backend server.
@@ -106,7 +108,7 @@
   Wait,        // a busy backend server is the better choice, or none meets
                // the aim
   Infeasible,  // no backend server can end it before the deadline
-  NoCandidate, // no suitable backend server is usable at present
+  NoCandidate, // no suitable backend server is ready and placeable
   Count
 };
 
@@ -125,8 +127,8 @@
 placement_forecast
 Forecast(const server_view& aView, const placement_request& aRequest);
 
-// The slowness of all ready backend servers that tasks can be placed on; 1 if
-// there are none.
+// Minimum and median slowness of all ready backend servers that tasks can be
+// placed on; 1 if there are none.
 struct slowness_summary
 {
   double mMin = 1;
--- a/cactusmast/route_config.h
+++ b/cactusmast/route_config.h
@@ -27,21 +27,21 @@
   std::string mPrefix; // of the path
   std::string mService;
   uint32_t mTimeoutMs = 0; // caller timeout of requests that give none
-  // The objective is this plus mObjectiveStretch times the run time of the job,
-  // which is the sum along its longest chain of steps.
+  // The objective is this plus mObjectiveStretch times the forecast run time of
+  // the job's longest task.
   uint32_t mObjectiveBaseMs = 0;
   double mObjectiveStretch = 1.0;
-  uint32_t mPriority = 0; // 0 is the highest
+  uint32_t mPriority = 0; // 0 is the highest, unlike profile::mPriority
   uint32_t mMaxAttempts = 1;
-  // True if only backend servers with certain tickets may run its steps. This
-  // system does not obtain such tickets.
+  // True if backend servers run its steps only with tickets, which this system
+  // does not obtain. Its jobs are refused.
   bool mNeedsTickets = false;
 };
 
 struct service_config
 {
   std::string mName;
-  bool mRejectsOverload = false;
+  bool mRejectsOverload = false; // decoded only; nothing depends on it
 };
 
 struct route_config
--- a/cactusmast/sized_task.h
+++ b/cactusmast/sized_task.h
@@ -74,12 +74,14 @@
 bool
 ParseJobId(std::string_view aText, uint64_t* aOut);
 
-// How one attempt at a task ended. Values go over the wire: append only.
+// How one attempt at a task of a sized job ended. Values go over the wire:
+// append only.
 enum class attempt_outcome : uint8_t
 {
   Done,
   Failed,   // the backend server ran it and reported a failure
-  NoRoom,   // not started: it could not start in time
+  NoRoom,   // not started: it could not start in time, or its entry stopped it
+            // while it was queued
   Draining, // not started: the backend server or its executor is draining, or
             // their data centre is being evacuated
   Unusable, // not started: the backend server is absent or quarantined
--- a/cactusmast/task_executor.cc
+++ b/cactusmast/task_executor.cc
@@ -149,7 +149,7 @@
     return;
   }
   resources size{ aDispatch.cpu_millis, aDispatch.memory_mb, aDispatch.gpus };
-  // An earlier attempt of the same task may still be being stopped here.
+  // The stop of an earlier attempt of the same task may not be complete.
   if (mTasks.count(key) > 0 || !size.FitsIn(mServer.mCapacity)) {
     refuse(attempt_outcome::NoRoom);
     return;
--- a/cactusmast/task_executor.h
+++ b/cactusmast/task_executor.h
@@ -1,5 +1,6 @@
 // The core of the executor: the process beside a backend server, and the only
-// one that starts or stops tasks there.
+// one that starts or stops tasks there. Deployments with coordinators and
+// executors have no guards, and vice versa.
 //
 // Entries dispatch tasks of any size. The executor starts a task when there is
 // free capacity, most urgent first, or reports within the time given in the
@@ -10,8 +11,9 @@
 //   never exceed the backend server's capacity. While a stray task runs there,
 //   one that this executor does not track, nothing is started, because its size
 //   is not known.
-// - An attempt is reported exactly once, over the connection that dispatched
-//   it. Done, Stopped and Lost are only reported once it no longer runs.
+// - The end of an attempt is reported exactly once, over the connection that
+//   dispatched it, unless that is closed. Done, Failed, Stopped and Lost are
+//   only reported once the attempt no longer runs.
 // - Tasks of an entry that has sent nothing for kEntryTimeout are stopped, so
 //   that the caller may resubmit its job elsewhere.
 // - While the executor's data centre is being evacuated nothing is started;
@@ -52,6 +54,8 @@
 // an executor that was killed have ended before entries may place them again;
 // long enough for three polls.
 constexpr milliseconds kLeaseTime = milliseconds(500);
+// How long the backend server may delay its reply to a poll: at least; while
+// tasks run; while none runs.
 constexpr milliseconds kMinPollWait = milliseconds(30);
 constexpr milliseconds kMaxBusyPollWait = milliseconds(100);
 constexpr milliseconds kIdlePollWait = milliseconds(200);
@@ -172,10 +176,10 @@
     task_state mState = task_state::Queued;
     uint32_t mEstimateMs = 0; // run time forecast by the entry
     uint32_t mDeclaredMs = 0; // run time declared by the caller
-    instant mLatestStart{};   // the earliest goes first
-    instant mStartBy{};       // if queued until then, it is returned
-    instant mStopBy{};        // if running then, it is stopped
-    instant mStartSentAt{};   // 0: not started
+    instant mLatestStart{}; // that meets the objective; the earliest goes first
+    instant mStartBy{};     // if queued until then, it is returned
+    instant mStopBy{};      // if running then, it is stopped
+    instant mStartSentAt{}; // 0: not started
     instant mConfirmedAt{}; // when its start or stop was confirmed; 0: neither
     bool mSeenRunning = false; // listed by some poll reply
     uint32_t mPercent = 0;     // progress in the last poll reply that listed it
@@ -228,6 +232,8 @@
   void SendPoll(instant aNow);
   // How long the backend server may delay the reply to the next poll.
   milliseconds PollWait(instant aNow) const;
+  // Sends a new start request after a refusal that it can avoid, or gives the
+  // start up after kMaxStartRetries or in an evacuation.
   void RetryStart(task& aTask, instant aNow);
   void GiveUpStart(task& aTask, attempt_outcome aWhy, instant aNow);
   void Requeue(task& aTask);
@@ -281,7 +287,7 @@
   task_map mTasks;
   std::set<queue_key> mQueue; // most urgent first
   // Last run numbers of tasks that ended here recently, and their keys in the
-  // sequence of the first end.
+  // order in which they first ended.
   std::map<task_key, uint32_t> mLastRunNumbers;
   std::vector<task_key> mLastRunOrder;
 
--- a/cactusmast/task_executor_limits.h
+++ b/cactusmast/task_executor_limits.h
@@ -12,9 +12,9 @@
 
 // Reports with ends are sent at once. Other changes are reported to each of n
 // subscribed entries at most once in n times this interval: 125 reports a
-// second in all, for any number of entries. An entry knows what it dispatched
-// itself and learns what others dispatched with the ends of its own tasks, and
-// each report costs it processor time.
+// second in all, for up to 18 entries; with more, one every 150 ms to each. An
+// entry knows what it dispatched itself and learns what others dispatched with
+// the ends of its own tasks, and each report costs it processor time.
 constexpr duration kReportSpacing = milliseconds(8);
 // Interval of reports to an entry with open tasks here, which lets it tell an
 // executor without changes from one that has failed.
@@ -42,21 +42,24 @@
 // How long a restored announcement is used. A running backend server announces
 // itself twice in this time.
 constexpr duration kRestoredLifetime = milliseconds(3000);
-// By how much the fencing token is raised when it is refused: an earlier
-// executor whose clock was ahead has used a greater one.
+// Fencing tokens are start times of executors in seconds. By how much the token
+// is raised when it is refused: an earlier executor whose clock was ahead has
+// used a greater one.
 constexpr uint64_t kFencingTokenStep = 60;
 // After this many consecutive failures, of any jobs, the backend server and not
 // the tasks is taken to be at fault, and it is quarantined.
 constexpr uint32_t kQuarantineAfterFailures = 3;
 constexpr duration kQuarantineTime = milliseconds(1500);
-// Decay of the mean run time for each task: about the last ten tasks count.
+// Weight that the mean run time keeps at each task that ends: about the last
+// ten tasks count.
 constexpr double kMeanRunDecay = 0.9;
 // Progress is reported in whole percents. From this run time and progress on,
 // an estimate from progress is accurate to about a tenth.
 constexpr duration kMinProgressTime = milliseconds(100);
 constexpr uint32_t kMinProgressPercent = 5;
-// Minimum of the expected remaining run time. A task that runs longer than its
-// forecast ends soon, or the forecast was wrong.
+// Minimum of the expected remaining run time, and margin after an expected end
+// for the reply to a poll. A task that runs longer than its forecast ends soon,
+// or the forecast was wrong.
 constexpr duration kMinRemainingRun = milliseconds(10);
 // An evacuation must take effect within seconds. Entries get an update from the
 // store at least every 1.5 s. If none of those that dispatch here has had one
--- a/cactusmast/task_executor_polls.cc
+++ b/cactusmast/task_executor_polls.cc
@@ -19,8 +19,8 @@
   return outstanding ? aNow >= mPollTimeoutAt : aNow >= mNextPoll;
 }
 
-// The reply to a poll comes with the next end in any case. The wait is shorter
-// only to detect a lost reply, which matters most right after an end.
+// The reply to a poll comes with the next end in any case. A shorter wait only
+// serves to detect a lost reply sooner, which matters most right after an end.
 milliseconds
 task_executor::PollWait(instant aNow) const
 {
@@ -297,8 +297,9 @@
   mMeanRunMs = mMeanRunMs == 0
                  ? ranMs
                  : kMeanRunDecay * mMeanRunMs + (1 - kMeanRunDecay) * ranMs;
-  // Compared with declared run times, because entries make their forecasts from
-  // this speed: compared with forecasts, both would drift together.
+  // The run time is compared with the declared one. Entries make forecasts from
+  // this slowness; if it were computed from forecasts, errors of both would
+  // reinforce each other.
   bool startedCold = aTask.mStartSentAt < mColdUntil;
   (startedCold ? mColdSlowness : mSlowness)
     .Observe(ranMs, double(aTask.mDeclaredMs));
--- a/cactusmast/testing/executor_subset_test.cc
+++ b/cactusmast/testing/executor_subset_test.cc
@@ -49,7 +49,8 @@
 
 } // namespace
 
-TEST_CASE("a fleet smaller than a subset is in it completely")
+TEST_CASE(
+  "all executors are members if there are fewer than the size of the subset")
 {
   executor_subset subset = MakeSubset("entry", 11, 4);
   CHECK(subset.Update().mJoined.size() == 11);
@@ -225,8 +226,9 @@
 TEST_CASE(
   "an idle connection after a job is not taken for the loss of its executor")
 {
-  // Guards against closing an idle connection because no messages arrive that
-  // nobody has to send; the tasks of the next job would be lost with it.
+  // Guards against closing an idle connection for a timeout, although neither
+  // side has to send anything over it; the tasks of the next job would be lost
+  // with it.
   sized_world world(2, 4, 73);
   world.Submit(0, 4, 60);
   world.Run(seconds(2));
--- a/cactusmast/testing/overload_test.cc
+++ b/cactusmast/testing/overload_test.cc
@@ -15,7 +15,7 @@
 constexpr double kSpeeds[] = { 0.6, 1.0, 1.6 };
 // Standard deviation of the logarithm of declared over actual run times.
 constexpr double kDeclaredSigma = 0.4;
-// Share of the goodput at a load that equals the capacity.
+// Minimum goodput under overload over that at a load equal to the capacity.
 constexpr double kMinGoodputShare = 0.9;
 
 void
@@ -83,7 +83,7 @@
   for (uint32_t seed : { 1u, 2u, 3u }) {
     double peak = RunLoad(1.0, seed).mInTimeWorkS;
     double twice = RunLoad(2.0, seed).mInTimeWorkS;
-    MESSAGE("seed ", seed, ": ", twice / peak);
+    MESSAGE("seed ", seed, ": goodput share ", twice / peak);
     CHECK(twice >= kMinGoodputShare * peak);
   }
 }
--- a/cactusmast/testing/server_record_test.cc
+++ b/cactusmast/testing/server_record_test.cc
@@ -98,9 +98,9 @@
 };
 
 // An executor that has just started; the test replies to its polls.
-struct new_process
+struct restarted_executor
 {
-  new_process()
+  restarted_executor()
     : mExecutor(1, "s", "a", mLinks, mRunner, mEvents)
   {
     mExecutor.OnEntryUp(1, "entry", mNow);
@@ -197,34 +197,36 @@
   // servers announce themselves every second and a half. Without the record,
   // callers would find no capacity until then, although every backend server is
   // up.
-  new_process world;
-  CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
-  world.mExecutor.OnAnnouncementRestored(SampleAnnouncement(), world.mNow);
-  CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
-  world.ReplyToPoll(5);
-  CHECK(world.mExecutor.State(world.mNow) == server_state::Ready);
-  CHECK(world.mExecutor.Free().mCpuMillis == 16000);
-  CHECK(world.mRunner.mExpected == "i-1");
-  CHECK(world.mExecutor.Announcement() == nullptr);
+  restarted_executor restarted;
+  CHECK(restarted.mExecutor.State(restarted.mNow) == server_state::Absent);
+  restarted.mExecutor.OnAnnouncementRestored(SampleAnnouncement(),
+                                             restarted.mNow);
+  CHECK(restarted.mExecutor.State(restarted.mNow) == server_state::Absent);
+  restarted.ReplyToPoll(5);
+  CHECK(restarted.mExecutor.State(restarted.mNow) == server_state::Ready);
+  CHECK(restarted.mExecutor.Free().mCpuMillis == 16000);
+  CHECK(restarted.mRunner.mExpected == "i-1");
+  CHECK(restarted.mExecutor.Announcement() == nullptr);
 
   server_announcement announcement = SampleAnnouncement();
   announcement.mSequence = 9;
-  world.mExecutor.OnAnnouncement(announcement, world.mNow);
-  world.Advance(seconds(5));
-  CHECK(world.mExecutor.State(world.mNow) == server_state::Ready);
-  CHECK(world.mExecutor.Announcement() != nullptr);
+  restarted.mExecutor.OnAnnouncement(announcement, restarted.mNow);
+  restarted.Advance(seconds(5));
+  CHECK(restarted.mExecutor.State(restarted.mNow) == server_state::Ready);
+  CHECK(restarted.mExecutor.Announcement() != nullptr);
 }
 
 TEST_CASE("a record of another incarnation of the backend server is not used")
 {
   // The machine was replaced by a smaller one at the same address while the
   // executor was down. Tasks placed by the old capacity would overload it.
-  new_process world;
-  world.mExecutor.OnAnnouncementRestored(SampleAnnouncement(), world.mNow);
-  world.Advance(milliseconds(50), 6);
-  CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
+  restarted_executor restarted;
+  restarted.mExecutor.OnAnnouncementRestored(SampleAnnouncement(),
+                                             restarted.mNow);
+  restarted.Advance(milliseconds(50), 6);
+  CHECK(restarted.mExecutor.State(restarted.mNow) == server_state::Absent);
 
-  new_process polledFirst;
+  restarted_executor polledFirst;
   polledFirst.ReplyToPoll(6);
   polledFirst.mExecutor.OnAnnouncementRestored(SampleAnnouncement(),
                                                polledFirst.mNow);
@@ -233,7 +235,7 @@
 
   // The incarnation of a backend server that reports no start time cannot be
   // verified.
-  new_process unidentified;
+  restarted_executor unidentified;
   unidentified.mExecutor.OnAnnouncementRestored(SampleAnnouncement(),
                                                 unidentified.mNow);
   unidentified.Advance(milliseconds(50), 0);
@@ -247,13 +249,14 @@
   // The backend server had begun to drain, and the record could not be removed
   // because the store was unavailable. The backend server still replies to
   // polls but no longer announces itself; it must not get new tasks for long.
-  new_process world;
-  world.mExecutor.OnAnnouncementRestored(SampleAnnouncement(), world.mNow);
-  world.Advance(seconds(2));
-  CHECK(world.mExecutor.State(world.mNow) == server_state::Ready);
-  world.Advance(seconds(2));
-  CHECK(world.mExecutor.State(world.mNow) == server_state::Absent);
-  CHECK(world.mExecutor.Queued() == 0);
+  restarted_executor restarted;
+  restarted.mExecutor.OnAnnouncementRestored(SampleAnnouncement(),
+                                             restarted.mNow);
+  restarted.Advance(seconds(2));
+  CHECK(restarted.mExecutor.State(restarted.mNow) == server_state::Ready);
+  restarted.Advance(seconds(2));
+  CHECK(restarted.mExecutor.State(restarted.mNow) == server_state::Absent);
+  CHECK(restarted.mExecutor.Queued() == 0);
 }
 
 } // namespace cactusmast::testing
--- a/cactusmast/testing/sized_job_test.cc
+++ b/cactusmast/testing/sized_job_test.cc
@@ -63,8 +63,8 @@
   CheckNoViolations(world);
 }
 
-TEST_CASE(
-  "a job resubmitted after its entry was killed never runs twice at a time")
+TEST_CASE("a job resubmitted after its entry was killed never runs twice at "
+          "the same time")
 {
   // An entry is killed while its tasks run, and the caller resubmits the job to
   // another entry 1.3 s later. Guards against running a task on two backend
@@ -262,7 +262,8 @@
   CheckNoViolations(world);
 }
 
-TEST_CASE("a job submitted twice at a time runs once and is answered twice")
+TEST_CASE(
+  "a job submitted twice at the same time runs once and is answered twice")
 {
   // A caller resubmits its job while it runs. Both requests get the answer, and
   // each task runs once.
--- a/cactusmast/testing/timeout_model_test.cc
+++ b/cactusmast/testing/timeout_model_test.cc
@@ -111,9 +111,10 @@
       double timeoutMs = 1500 + spreadMs * double(random() % 1000) / 1000;
       model.Observe("r", job.mDeclaredMs, timeoutMs, job.mRunMs);
       run_forecast forecast = model.Forecast("r", job.mDeclaredMs, timeoutMs);
-      // A declared run time that is a far outlier may be forecast as shorter.
-      bool likely = forecast.mRunMs > 0.5 * job.mDeclaredMs;
-      CHECK(likely);
+      // A declared run time that is a far outlier may be forecast as shorter,
+      // but not by half.
+      bool aboveHalfOfDeclared = forecast.mRunMs > 0.5 * job.mDeclaredMs;
+      CHECK(aboveHalfOfDeclared);
       CHECK(forecast.mElapsedMs == 0);
     }
   }
@@ -157,7 +158,9 @@
   CHECK(falsePositives < 20);
 }
 
-TEST_CASE("regressions can be stored and restored, and the greater weight wins")
+TEST_CASE(
+  "regressions can be stored and restored, and one with more observations "
+  "is not replaced")
 {
   job_generator generator(6);
   timeout_model model;
@@ -200,6 +203,7 @@
   // than capacity. The objective of most resubmitted jobs has passed. If they
   // were placed like new ones, the new ones would be late too.
   sized_world world(1, 4, 41);
+  // Resubmissions carry the rest of the caller timeout.
   world.CountDownTimeouts();
   job_generator generator(7);
   // When each new job has to be answered.
--- a/cactusmast/timeout_model.cc
+++ b/cactusmast/timeout_model.cc
@@ -172,10 +172,11 @@
                  return std::isfinite(aSum) && aSum >= 0;
                });
   if (!valid) {
-    return failure(error_code::BadRequest,
-                   "decode",
-                   "store",
-                   "invalid sums of a regression");
+    return failure(
+      error_code::BadRequest,
+      "decode",
+      "store",
+      "stored regression needs 9 finite sums that are not negative");
   }
   timeout_regression regression;
   regression.mWeight = aSums[0];
--- a/cactusmast/timeout_model.h
+++ b/cactusmast/timeout_model.h
@@ -21,7 +21,7 @@
 // model can be stored (Encode) and restored after a restart (Merge), when
 // nothing has been observed yet and many jobs arrive at once.
 //
-// Run times are those on a backend server of ordinary speed.
+// Run times are those on a backend server with a slowness of 1.
 
 #ifndef CACTUSMAST_TIMEOUT_MODEL_H_
 #define CACTUSMAST_TIMEOUT_MODEL_H_
