--- a/cactusmast/job_coordinator.h
+++ b/cactusmast/job_coordinator.h
@@ -121,8 +121,8 @@
   uint64_t mAttempts = 0;   // tasks in them
   uint64_t mNotStarted = 0; // attempts that an executor did not start
   uint64_t mLost = 0;       // attempts orphaned by the loss of an executor
-  latency_histogram mCompletedIn; // from acceptance to the answer
-  latency_histogram mOtherwiseIn; // the same for all other endings
+  latency_histogram mCompletedIn;    // from acceptance to the answer
+  latency_histogram mOtherEndingsIn; // the same for all other endings
 };
 
 class job_coordinator
@@ -162,10 +162,11 @@
   size_t OpenJobs() const { return mJobs.size(); }
   size_t WaitingTasks() const { return mWaiting.size(); }
   // The number of open jobs of aRoute of which no task was dispatched.
-  uint32_t UnstartedJobs(const std::string& aRoute) const;
+  uint32_t UndispatchedJobs(const std::string& aRoute) const;
   // The number of connected executors whose backend server is ready.
   size_t ReadyServers() const;
-  // The number of those that tasks are placed on.
+  // The number of ready backend servers in the subsets, on which tasks are
+  // placed.
   size_t PlaceableServers() const;
   // Executors with open tasks, which have to get heartbeats.
   const std::set<peer_id>& BusyExecutors() const { return mBusyExecutors; }
@@ -188,7 +189,7 @@
     peer_id mExecutor = 0; // 0: neither reserved nor placed
     uint32_t mAttempt = 0; // number of the latest attempt; 0: none yet
     uint32_t mFailures = 0;
-    // Run time on a backend server of ordinary speed; 0: no estimate yet.
+    // Run time on a backend server with a slowness of 1; 0: no estimate yet.
     uint32_t mProgressEstimateMs = 0;
     peer_id mAvoid = 0; // where an attempt ended without success; 0: none
     instant mOrphanedUntil{};
@@ -220,7 +221,7 @@
 
   struct executor
   {
-    size_t mView = 0;                   // index in mViews
+    size_t mViewIndex = 0;              // index in mViews
     executor_subset* mSubset = nullptr; // null until its service is known
     instant mLastHeard{};
     instant mReportDueSince{}; // zero: no report is due
@@ -244,7 +245,8 @@
   const job& Admit(job_request& aRequest, instant aNow);
   // Sets the members of aJob that depend on the forecast by its caller timeout.
   void ApplyForecast(job& aJob, uint32_t aDeclaredMs, instant aNow);
-  static double ExpectedMs(const job& aJob, const job_step& aStep);
+  // The forecast run time of a task on a backend server with a slowness of 1.
+  static double ExpectedRunMs(const job& aJob, const job_step& aStep);
   void ObserveRunTime(const job& aJob,
                       const task_key& aKey,
                       uint32_t aRunMs,
@@ -260,26 +262,28 @@
   // placed when they were last tried, so they are not tried again for each new
   // job.
   void PlaceNew(const job& aJob, instant aNow);
-  void PlaceKeys(const std::vector<task_key>& aOrder, instant aNow);
+  // Places the tasks of aOrder, sends the dispatches and ends the jobs that are
+  // refused or infeasible.
+  void RunPlacement(const std::vector<task_key>& aOrder, instant aNow);
   // Returns all tasks that are unplaced after it.
   std::vector<task_key> UnplacePartialJobs(
     const std::vector<task_key>& aUnplaced);
   // Undoes the reservations of aJob and adds its tasks to aUnplaced.
   void Unplace(job& aJob, std::vector<task_key>* aUnplaced);
-  // Whether the capacity that stays idle while aJob waits until all its tasks
-  // fit is small.
+  // Whether free capacity is scarce and aJob, waiting until all its tasks fit,
+  // keeps little of it idle.
   static bool MayWaitForAll(const job& aJob, const service_capacity& aCapacity);
   // aCapacities: capacities computed so far, by service.
   const service_capacity& CapacityFor(
     const job& aJob,
     std::map<std::string_view, service_capacity>* aCapacities) const;
   // While free capacity is scarce, refuses jobs that would be late and leaves
-  // those that can still meet their objective waiting. Returns the tasks of all
-  // other jobs.
+  // those waiting that can still meet their objective, if that keeps little
+  // capacity idle (MayWaitForAll). Returns the tasks of all other jobs.
   std::vector<task_key> ShedLate(const std::vector<task_key>& aLate,
                                  instant aNow);
   // Returns the tasks that were not placed, in the same order.
-  std::vector<task_key> PlaceAll(const std::vector<task_key>& aOrder,
+  std::vector<task_key> TryPlace(const std::vector<task_key>& aOrder,
                                  placement_aim aAim,
                                  instant aNow);
   placement_verdict PlaceOne(job& aJob,
@@ -307,7 +311,10 @@
   void AddOpenTask(peer_id aPeer, const task_key& aKey, instant aNow);
   void RemoveOpenTask(peer_id aPeer, const task_key& aKey);
   void ExpectReport(executor& aExecutor, instant aNow);
-  task* CurrentAttempt(peer_id aPeer, const task_key& aKey, uint32_t aAttempt);
+  // Null unless aAttempt is the task's current attempt and was sent to aPeer.
+  task* FindCurrentAttempt(peer_id aPeer,
+                           const task_key& aKey,
+                           uint32_t aAttempt);
   void OnTooSlow(peer_id aPeer,
                  const wire::task_forecast& aForecast,
                  instant aNow);
@@ -322,7 +329,7 @@
   // Whether any task of the job was ever dispatched.
   static bool IsDispatched(const job& aJob);
   // The same, but counts reserved tasks as well.
-  bool MayHaveRun(const job& aJob) const;
+  bool IsReservedOrDispatched(const job& aJob) const;
   // Refused if the job cannot have started, otherwise expired.
   job_outcome ExpiryOf(const job& aJob, const std::string& aReason) const;
   void ExpireJobs(instant aNow);
@@ -348,7 +355,7 @@
   std::vector<server_view> mViews;
   std::map<std::string, executor_subset> mSubsets; // by service
   evacuation_tracker mEvacuations;
-  slowness_range mSlowness; // of mViews, as of the latest placement
+  slowness_summary mSlowness; // of mViews, as of the latest placement
   instant mNextTimeoutCheck{};
   // Reports or waiting tasks have come since all waiting tasks were last tried.
   bool mCapacityChanged = false;
--- a/cactusmast/sized_task.h
+++ b/cactusmast/sized_task.h
@@ -23,25 +23,26 @@
 {
   int64_t mCpuMillis = 0; // thousandths of a core
   int64_t mMemoryMb = 0;
-  int64_t mGpus = 0;
+  int64_t mAccelerators = 0;
 
   bool FitsIn(const resources& aCapacity) const
   {
     return mCpuMillis <= aCapacity.mCpuMillis &&
-           mMemoryMb <= aCapacity.mMemoryMb && mGpus <= aCapacity.mGpus;
+           mMemoryMb <= aCapacity.mMemoryMb &&
+           mAccelerators <= aCapacity.mAccelerators;
   }
   resources& operator+=(const resources& aOther)
   {
     mCpuMillis += aOther.mCpuMillis;
     mMemoryMb += aOther.mMemoryMb;
-    mGpus += aOther.mGpus;
+    mAccelerators += aOther.mAccelerators;
     return *this;
   }
   resources& operator-=(const resources& aOther)
   {
     mCpuMillis -= aOther.mCpuMillis;
     mMemoryMb -= aOther.mMemoryMb;
-    mGpus -= aOther.mGpus;
+    mAccelerators -= aOther.mAccelerators;
     return *this;
   }
 };
@@ -73,12 +74,14 @@
 bool
 ParseJobId(std::string_view aText, uint64_t* aOut);
 
-// How one attempt at a task ended. Values go over the wire: append only.
+// How one attempt at a task of a sized job ended. Values go over the wire:
+// append only.
 enum class attempt_outcome : uint8_t
 {
   Done,
   Failed,   // the backend server ran it and reported a failure
-  NoRoom,   // not started: it could not start in time
+  NoRoom,   // not started: it could not start in time, or its entry stopped it
+            // while it was queued
   Draining, // not started: the backend server or its executor is draining, or
             // their data centre is being evacuated
   Unusable, // not started: the backend server is absent or quarantined
--- a/cactusmast/testing/executor_subset_test.cc
+++ b/cactusmast/testing/executor_subset_test.cc
@@ -14,7 +14,7 @@
 using std::chrono::seconds;
 
 constexpr double kAmpleFreeShare = 0.7;
-constexpr double kScarceFreeShare = 0.05;
+constexpr double kLowFreeShare = 0.05;
 
 std::string
 ExecutorName(peer_id aPeer)
@@ -49,7 +49,8 @@
 
 } // namespace
 
-TEST_CASE("a fleet smaller than a subset is in it completely")
+TEST_CASE(
+  "all executors are members if there are fewer than the size of the subset")
 {
   executor_subset subset = MakeSubset("entry", 11, 4);
   CHECK(subset.Update().mJoined.size() == 11);
@@ -116,7 +117,7 @@
   subset.Update();
   for (int i = 0; i < 100; i++) {
     now += milliseconds(20);
-    subset.AdjustSize(kScarceFreeShare, false, now);
+    subset.AdjustSize(kLowFreeShare, false, now);
     subset.Update();
   }
   CHECK(Members(subset, 500).size() == kMaxSubsetSize);
@@ -141,7 +142,7 @@
   executor_subset subset = MakeSubset("entry", 500, 1);
   subset.Update();
   instant now = seconds(1);
-  subset.AdjustSize(kScarceFreeShare, false, now);
+  subset.AdjustSize(kLowFreeShare, false, now);
   size_t grownSize = subset.Size();
   CHECK(grownSize > kMinSubsetSize);
   subset.AdjustSize(kAmpleFreeShare, false, now + seconds(2));
@@ -225,8 +226,9 @@
 TEST_CASE(
   "an idle connection after a job is not taken for the loss of its executor")
 {
-  // Guards against closing an idle connection because no messages arrive that
-  // nobody has to send; the tasks of the next job would be lost with it.
+  // Guards against closing an idle connection for a timeout, although neither
+  // side has to send anything over it; the tasks of the next job would be lost
+  // with it.
   sized_world world(2, 4, 73);
   world.Submit(0, 4, 60);
   world.Run(seconds(2));
