--- a/bench/scale_bench.cc
+++ b/bench/scale_bench.cc
@@ -156,7 +156,7 @@
 MeasureJobMemory(uint32_t aTasks, json* aOut)
 {
   job_table_options options;
-  options.mMaxAnswerBytes = 1u << 30;
+  options.mMaxResultBytes = 1u << 30;
   job_table table(options);
   constexpr uint32_t kJobs = 2000;
   double before = HeapBytes();
--- a/cactusmast/config_agent.cc
+++ b/cactusmast/config_agent.cc
@@ -267,7 +267,7 @@
 void
 config_agent::OnConfigPush(uint64_t aVersion, const std::string& aDocument)
 {
-  if (!mSafeguards.mMonotonicVersion) {
+  if (!mSafeguards.mMonotonicConfig) {
     Install(aDocument);
     return;
   }
@@ -296,7 +296,7 @@
     return;
   }
   bool newer = parsed.Value().mVersion > mConfig.mVersion;
-  if (!newer && mSafeguards.mMonotonicVersion) {
+  if (!newer && mSafeguards.mMonotonicConfig) {
     return;
   }
   mConfig = std::move(parsed.Value());
--- a/cactusmast/entry_membership.cc
+++ b/cactusmast/entry_membership.cc
@@ -110,9 +110,9 @@
 }
 
 void
-entry_node::RunElections(instant aNow)
+entry_node::UpdateOwnership(instant aNow)
 {
-  bool delayOver = aNow - mStarted >= mOptions.mElectionDelay;
+  bool delayOver = aNow - mStarted >= mOptions.mClaimDelay;
   if (!mConfig.IsLoaded() || !delayOver) {
     return;
   }
@@ -208,7 +208,7 @@
                                                mRandom,
                                                aNow,
                                                mSafeguards.mShardOwner);
-  shard.mOwner->SetAbsentWorkers(shard.mTraits);
+  shard.mOwner->SetDisconnectedWorkers(shard.mTraits);
   shard.mStoredVersion = 0;
   shard.mNextStore = aNow;
   for (const auto& [peer, row] : mPeers) {
--- a/cactusmast/entry_node.cc
+++ b/cactusmast/entry_node.cc
@@ -307,9 +307,9 @@
   mConfig.Tick(aNow, aWallSeconds);
   RenewRow(aNow);
   CheckEntryLinks(aNow);
-  if (aNow >= mNextElection) {
-    mNextElection = aNow + milliseconds(100);
-    RunElections(aNow);
+  if (aNow >= mNextOwnershipUpdate) {
+    mNextOwnershipUpdate = aNow + milliseconds(100);
+    UpdateOwnership(aNow);
     StoreRosters(aNow);
   }
   if (aNow >= mNextRoute) {
--- a/cactusmast/entry_node.h
+++ b/cactusmast/entry_node.h
@@ -63,7 +63,7 @@
   duration mPeerTimeout = std::chrono::seconds(3);
   // Time after a start before shards are claimed, in which other entries report
   // what they own.
-  duration mElectionDelay = std::chrono::milliseconds(1500);
+  duration mClaimDelay = std::chrono::milliseconds(1500);
   // A request fails if its shard has no known owner for this long.
   duration mRouteTimeout = std::chrono::seconds(6);
   // Interval at which the entry renews its row in the table, and the age at
@@ -257,7 +257,7 @@
   };
 
   // A request that another entry forwarded to this one.
-  struct served_row
+  struct forwarded_request
   {
     peer_id mPeer = 0;     // the other entry
     uint64_t mRequest = 0; // its number of the request
@@ -310,7 +310,7 @@
   shard_owner* LocalOwnerFor(peer_id aPeer);
 
   // Claims shards without an owner, and gives up those that another entry owns.
-  void RunElections(instant aNow);
+  void UpdateOwnership(instant aNow);
   // Whether no other live entry that is ready has a greater rendezvous weight
   // for aShard.
   bool IsCandidate(uint32_t aShard, instant aNow) const;
@@ -365,7 +365,7 @@
   std::map<uint32_t, shard_row> mShards;
   // By token.
   std::unordered_map<uint64_t, request_row> mRequests;
-  std::unordered_map<uint64_t, served_row> mServedRequests;
+  std::unordered_map<uint64_t, forwarded_request> mServedRequests;
   std::unordered_map<caller_id, uint64_t> mTokenByCaller;
   uint64_t mNextToken = 1;
   uint64_t mRequestBytes = 0;
@@ -373,7 +373,7 @@
 
   instant mNextStatus{};
   instant mNextGuardStatus{};
-  instant mNextElection{};
+  instant mNextOwnershipUpdate{};
   instant mNextRowRenewal{};
   instant mNextConnect{};
   instant mNextEntriesRead{};
--- a/cactusmast/guard_node.cc
+++ b/cactusmast/guard_node.cc
@@ -194,7 +194,7 @@
     mSequence = aRequest.sequence;
     granted = true;
     if (newLink) {
-      RequeueUnacked();
+      ResendUnackedResults();
       mHandoverSent = false;
     }
   } else if (free && aRequest.epoch > mEpoch) {
@@ -233,7 +233,7 @@
     event_code::LeaseGranted,
     { { "peer", PeerName(requester) }, { "epoch", std::to_string(mEpoch) } });
   SendRecords(aPeer, false);
-  RequeueUnacked();
+  ResendUnackedResults();
 }
 
 void
@@ -246,7 +246,7 @@
   if (mHandoverSent) {
     // The owner has taken over the records, so this guard may stop.
     mRecordsHandedOver = true;
-    mRecordsKept = aRelease.records_kept;
+    mRecordsReplicated = aRelease.records_kept;
     BroadcastState();
     return;
   }
@@ -393,7 +393,7 @@
   state.draining = mDraining;
   state.config_version = mConfig.mVersion;
   state.running = mRunning;
-  state.records_kept = mRecordsKept;
+  state.records_kept = mRecordsReplicated;
   mNetwork.Send(aPeer, MakeMessage(std::move(state)));
 }
 
--- a/cactusmast/guard_node.h
+++ b/cactusmast/guard_node.h
@@ -221,7 +221,7 @@
                   const wire::lease_request_msg& aRequest,
                   instant aNow);
   void SendRecords(peer_id aPeer, bool aIsHandover);
-  void RequeueUnacked();
+  void ResendUnackedResults();
   void SendState(peer_id aPeer);
   void BroadcastState();
   void EndAnnouncement(event_code aCode);
@@ -283,7 +283,7 @@
   instant mGraceUntil{}; // tasks and the announcement do not time out before
   bool mDraining = false;
   bool mRecordsHandedOver = false; // confirmed by the owner
-  bool mRecordsKept = false;       // other guards hold copies of them
+  bool mRecordsReplicated = false; // other guards hold copies of them
   bool mHandoverSent = false;      // to the present holder, over this link
 };
 
--- a/cactusmast/guard_tasks.cc
+++ b/cactusmast/guard_tasks.cc
@@ -39,7 +39,7 @@
 }
 
 void
-guard_node::RequeueUnacked()
+guard_node::ResendUnackedResults()
 {
   mOutbox.clear();
   for (const auto& [ref, row] : mRecords) {
--- a/cactusmast/instance_settings.cc
+++ b/cactusmast/instance_settings.cc
@@ -22,7 +22,7 @@
   aReader.Text("region", true, &aOut->mRegion);
   aReader.Text("host", true, &aOut->mHost);
   aReader.Number("peer_port", 1, 65535, &aOut->mPeerPort);
-  aReader.Addresses("seeds", &aOut->mSeeds);
+  aReader.Addresses("seeds", &aOut->mSeedEntries);
   aReader.Address("store", true, &aOut->mStore);
   aReader.Address("metrics", true, &aOut->mMetrics);
   aReader.Text("shared_key", true, &aOut->mSharedKey);
@@ -44,7 +44,7 @@
 instance_settings::SeedAddresses() const
 {
   std::vector<std::string> addresses;
-  for (const std::string& seed : mSeeds) {
+  for (const std::string& seed : mSeedEntries) {
     addresses.push_back(AddressAt(seed.substr(0, seed.rfind(':'))));
   }
   return addresses;
--- a/cactusmast/instance_settings.h
+++ b/cactusmast/instance_settings.h
@@ -25,7 +25,7 @@
   uint32_t mPeerPort = 0; // the same on all instances
   // Entries that may exist, as HOST:PORT with an IP address; the ports are not
   // used.
-  std::vector<std::string> mSeeds;
+  std::vector<std::string> mSeedEntries;
   std::string mStore;         // HOST:PORT of the platform's store
   std::string mMetrics;       // HOST:PORT that serves metrics
   std::string mSharedKey;     // processes prove to each other that they know it
--- a/cactusmast/job_table.cc
+++ b/cactusmast/job_table.cc
@@ -137,7 +137,7 @@
 {
   // The newest answer is kept whatever its size, because its callers are about
   // to read it.
-  while (mAnswerBytes > mOptions.mMaxAnswerBytes && mOutputOrder.size() > 1) {
+  while (mAnswerBytes > mOptions.mMaxResultBytes && mOutputOrder.size() > 1) {
     auto oldest = mRows.find(mOutputOrder.front());
     mOutputOrder.pop_front();
     if (oldest == mRows.end()) {
--- a/cactusmast/job_table.h
+++ b/cactusmast/job_table.h
@@ -60,7 +60,7 @@
 struct task_progress
 {
   task_state mState = task_state::Queued;
-  uint8_t mAttempts = 0; // refusals by workers that count as retries
+  uint8_t mRetries = 0; // refusals by workers that count as retries
 };
 
 struct job_row
@@ -91,7 +91,7 @@
   // How long a decided job is kept.
   duration mRetention = std::chrono::minutes(5);
   // Bound of the results of all decided jobs together.
-  uint64_t mMaxAnswerBytes = 24u << 20;
+  uint64_t mMaxResultBytes = 24u << 20;
   // Accepted jobs, undecided and decided ones.
   uint32_t mMaxJobs = 200000;
 };
--- a/cactusmast/shard_owner.cc
+++ b/cactusmast/shard_owner.cc
@@ -217,9 +217,9 @@
   if (sent.count() == 0) {
     return;
   }
-  instant from = mSafeguards.mLeaseMargin ? sent : aNow;
+  instant from = mSafeguards.mUseLeaseMargin ? sent : aNow;
   duration margin =
-    mSafeguards.mLeaseMargin ? mOptions.mLeaseMargin : duration(0);
+    mSafeguards.mUseLeaseMargin ? mOptions.mLeaseMargin : duration(0);
   aRow.mLeaseEnd =
     std::max(aRow.mLeaseEnd, from + mOptions.mLeaseDuration - margin);
 }
--- a/cactusmast/shard_owner.h
+++ b/cactusmast/shard_owner.h
@@ -82,7 +82,7 @@
   bool mWaitForRecords = true;
   bool mUseRecords = true;
   bool mResolveBeforeRetry = true;
-  bool mLeaseMargin = true;
+  bool mUseLeaseMargin = true;
   bool mDeduplicateJobs = true;
   bool mStepDownWhenSuperseded = true;
   bool mRecordAbandoned = true;
@@ -157,7 +157,7 @@
 
   void SetConfig(const deployment_config& aConfig);
   // Traits of workers that are not connected, and when they last were.
-  void SetAbsentWorkers(
+  void SetDisconnectedWorkers(
     std::map<std::string, std::pair<worker_traits, instant>> aAbsent)
   {
     mAbsent = std::move(aAbsent);
--- a/cactusmast/shard_owner_jobs.cc
+++ b/cactusmast/shard_owner_jobs.cc
@@ -234,9 +234,9 @@
     return;
   }
   if (aCounted) {
-    task.mAttempts++;
+    task.mRetries++;
     uint32_t limit = mDispatcher.LaneProfile(row.mLane).mRetryLimit;
-    if (task.mAttempts > limit || !mDispatcher.TakeRetry()) {
+    if (task.mRetries > limit || !mDispatcher.TakeRetry()) {
       FinishTask(aTask.mJob,
                  aIndex,
                  run_state::NotRun,
--- a/cactusmast/table_watcher.cc
+++ b/cactusmast/table_watcher.cc
@@ -65,13 +65,13 @@
     }
     return;
   }
-  if (!mAvailable || !mHasReplied) {
+  if (!mAvailable || !mStoreHasReplied) {
     mEvents.Emit(
       event_code::TableAvailable,
       { { "table", mTable }, { "version", std::to_string(aReply.mVersion) } });
   }
   mAvailable = true;
-  mHasReplied = true;
+  mStoreHasReplied = true;
   mBackoff = kMinBackoff;
   mNextRequest = mNow;
   mOnChange({ aReply.mRows, aReply.mVersion, aIsSnapshot && !aReply.mHasMore });
--- a/cactusmast/table_watcher.h
+++ b/cactusmast/table_watcher.h
@@ -107,7 +107,7 @@
   bool mHaveVersion = false;
   uint64_t mVersion = 0; // changes after this version are waited for
   bool mAvailable = true;
-  bool mHasReplied = false;
+  bool mStoreHasReplied = false;
   instant mNow{};
   instant mNextRequest{};
   duration mBackoff{};
--- a/cactusmast/testing/evacuation_test.cc
+++ b/cactusmast/testing/evacuation_test.cc
@@ -38,7 +38,7 @@
   }
 
   test_codec mCodec;
-  silent_events mEvents;
+  no_events mEvents;
   evacuation_reader mReader{ mCodec, mEvents };
 };
 
--- a/cactusmast/testing/random_test.cc
+++ b/cactusmast/testing/random_test.cc
@@ -392,7 +392,7 @@
     [](s& aSet) { aSet.mEntry.mShardOwner.mUseRecords = false; },
     [](s& aSet) { aSet.mEntry.mShardOwner.mWaitForRecords = false; },
     [](s& aSet) { aSet.mEntry.mShardOwner.mDeduplicateJobs = false; },
-    [](s& aSet) { aSet.mEntry.mConfig.mMonotonicVersion = false; },
+    [](s& aSet) { aSet.mEntry.mConfig.mMonotonicConfig = false; },
     [](s& aSet) { aSet.mGuard.mMonotonicConfig = false; },
   };
   int mutant = 0;
--- a/cactusmast/testing/scenario_test.cc
+++ b/cactusmast/testing/scenario_test.cc
@@ -78,7 +78,7 @@
       [](safeguards& aSet) { aSet.mEntry.mConfig.mReadBack = false; } },
     { "entries refuse older configurations",
       "old_configuration_returns",
-      [](safeguards& aSet) { aSet.mEntry.mConfig.mMonotonicVersion = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mConfig.mMonotonicConfig = false; } },
     { "failing workers are quarantined",
       "failing_worker",
       [](safeguards& aSet) { aSet.mHealth.mEnabled = false; } },
--- a/cactusmast/testing/server_record_test.cc
+++ b/cactusmast/testing/server_record_test.cc
@@ -127,7 +127,7 @@
   }
 
   instant mNow = seconds(50);
-  silent_events mEvents;
+  no_events mEvents;
   idle_links mLinks;
   idle_runner mRunner;
   task_executor mExecutor;
@@ -160,7 +160,7 @@
   "a row is written once, retried after a failure, and removed on demand")
 {
   memory_store store;
-  silent_events events;
+  no_events events;
   row_place place{ "t", "side-1", "side-1" };
   stored_row row(store, place, events);
   instant now = seconds(1);
--- a/cactusmast/testing/sized_world.h
+++ b/cactusmast/testing/sized_world.h
@@ -27,7 +27,7 @@
 class sized_world;
 
 // Discards events.
-class silent_events : public event_sink
+class no_events : public event_sink
 {
 public:
   void Emit(event_code, std::vector<event_field>) override {}
@@ -233,7 +233,7 @@
   bool mRefusesUnconfigured = false; // see RefuseUntilStoreIsRead
   instant mNow{ std::chrono::seconds(100) };
   std::mt19937 mRandom;
-  silent_events mEvents;
+  no_events mEvents;
   std::multimap<instant, std::function<void()>> mQueue;
   std::vector<std::unique_ptr<entry>> mEntries;
   std::vector<std::unique_ptr<executor>> mExecutors;
--- a/cactusmast/testing/task_executor_test.cc
+++ b/cactusmast/testing/task_executor_test.cc
@@ -152,7 +152,7 @@
   instant mNow = seconds(50);
   uint64_t mSequence = 0;
   uint64_t mEnds = 0;
-  silent_events mEvents;
+  no_events mEvents;
   recorded_links mLinks;
   scripted_runner mRunner;
   task_executor mExecutor;
--- a/shell/entry_daemon.cc
+++ b/shell/entry_daemon.cc
@@ -107,7 +107,7 @@
   options.mMaxRequests = mSettings.mMaxOpenRequests;
   options.mConfig.mInitialShardCount = mSettings.mInitialShards;
   options.mOwner.mJobs.mRetention = milliseconds(mSettings.mRetentionMs);
-  options.mOwner.mJobs.mMaxAnswerBytes = mSettings.mMaxAnswerBytes;
+  options.mOwner.mJobs.mMaxResultBytes = mSettings.mMaxAnswerBytes;
   mNode = std::make_unique<entry_node>(
     options, *mTransport, mTable, *this, mLog, *this, Now());
   mLog.Emit(event_code::ProcessStarted,
