--- a/cactusmast/config_agent.h
+++ b/cactusmast/config_agent.h
@@ -49,9 +49,9 @@
 // Safeguards that tests switch off to show that each is needed.
 struct config_safeguards
 {
-  bool mCompareRevision = true; // refuse changes of an outdated revision
+  bool mCompareRevision = true; // refuse changes based on an old revision
   bool mReadBack = true;        // read the audit row if a commit is in doubt
-  bool mMonotonicConfig = true; // ignore older documents
+  bool mMonotonicConfig = true; // ignore older configurations
 };
 
 enum class change_action : uint8_t
--- a/cactusmast/dispatcher.h
+++ b/cactusmast/dispatcher.h
@@ -33,8 +33,8 @@
 // (IsSatisfiable).
 //
 // Invariants:
-//   - a worker never holds more tasks than its slots, its warm-up limit and
-//     its profile's limit allow;
+//   - a worker never holds more tasks than its slots, its limit after a start
+//     or quarantine (health.h) and each profile's mWorkerConcurrency allow;
 //   - a task is in the queue or counted as running on one worker, never both.
 
 #ifndef CACTUSMAST_DISPATCHER_H_
@@ -78,8 +78,8 @@
   // show the gain.
   bool mWaitForFaster = true;
   // A team counts as level with the one that is furthest behind while it is
-  // ahead by at most this many seconds of all usable slots. A tenth of a
-  // second changes a team's share over ten seconds by at most one hundredth.
+  // ahead by at most this many seconds times the number of usable slots. A
+  // slack of 0.05 s changes a team's share over ten seconds by at most 0.005.
   double mTeamSlack = 0.05;
   // Number of queued tasks that one plan covers.
   uint32_t mMaxPlannedTasks = 64;
@@ -263,7 +263,7 @@
   bool mPlanValid = false;
   instant mPlanTime{};
   slot_plan mPlan;
-  std::vector<task_queue::group> mGroups; // without planned tasks
+  std::vector<task_queue::group> mGroups; // mQueued excludes planned tasks
   std::vector<double> mPlannedTeamTimes;  // virtual times with planned tasks
   uint32_t mPlannedTasks = 0;             // tasks in the plan
   uint32_t mFreeSlots = 0;
--- a/cactusmast/entry_directory.h
+++ b/cactusmast/entry_directory.h
@@ -37,7 +37,7 @@
   // a limit.
   std::vector<std::string> AddressesToDial(instant aNow);
   // The addresses that are connected or were so shortly before, and the own
-  // address if there is known. Addresses that this process only got from others
+  // address if there is one. Addresses that this process only got from others
   // are left out: processes that told them to each other would never forget
   // them.
   std::vector<std::string> LiveAddresses(instant aNow) const;
@@ -52,8 +52,8 @@
     bool mPinned = false;
     bool mConnected = false;
     bool mEverConnected = false; // has been connected at some time
-    // When it was connected, or, while it is not, when it was last connected or
-    // else added.
+    // While connected: since when. Otherwise: when the connection was lost, or
+    // when the address was added if there never was one.
     instant mSince{};
     instant mNextDial{};
     duration mBackoff{}; // between the next dial and the one after it
--- a/cactusmast/entry_node.h
+++ b/cactusmast/entry_node.h
@@ -260,7 +260,7 @@
   struct forwarded_request
   {
     peer_id mPeer = 0;     // the other entry
-    uint64_t mRequest = 0; // its number of the request
+    uint64_t mRequest = 0; // its number for the request
   };
 
   uint32_t ShardCount() const { return mConfig.Config().mShardCount; }
--- a/cactusmast/error.h
+++ b/cactusmast/error.h
@@ -73,7 +73,7 @@
   }
 
   error_code Code() const { return mCode; }
-  // The operation that failed, such as "decode".
+  // Name of the operation that failed, such as "decode".
   const std::string& Step() const { return mStep; }
   // The process or caller that the operation concerned; empty for none.
   const std::string& Peer() const { return mPeer; }
--- a/cactusmast/guard_node.h
+++ b/cactusmast/guard_node.h
@@ -62,13 +62,14 @@
 // without each of them. Always on in daemons.
 struct guard_safeguards
 {
-  bool mCheckEpoch = true;           // refuse dispatches not from the holder
-  bool mCheckExpiry = true;          // refuse dispatches after the lease's end
-  bool mTombstones = true;           // record revoked tasks
-  bool mDeduplicate = true;          // ignore dispatches of recorded tasks
-  bool mMonotonicConfig = true;      // ignore older configurations
-  bool mRefuseWithdrawn = true;      // refuse while nothing is announced
-  bool mCloseLinksAfterPause = true; // after this process was paused
+  bool mCheckEpoch = true;      // refuse dispatches not from the holder
+  bool mCheckExpiry = true;     // refuse dispatches after the lease's end
+  bool mTombstones = true;      // record revoked tasks
+  bool mDeduplicate = true;     // ignore dispatches of recorded tasks
+  bool mMonotonicConfig = true; // ignore older configurations
+  bool mRefuseWithdrawn = true; // refuse while nothing is announced
+  // Close all links after this process was paused for longer than a lease.
+  bool mCloseLinksAfterPause = true;
 };
 
 struct backend_announcement
@@ -162,6 +163,7 @@
   bool IsDraining() const { return mDraining; }
 
 private:
+  // State of one link to an entry.
   struct peer_row
   {
     peer_identity mIdentity;
@@ -179,6 +181,7 @@
     wire::task_result_msg mResult;
   };
 
+  // A record by the time when its task ended or was revoked.
   struct ended_row
   {
     instant mEnded;
@@ -195,9 +198,12 @@
   void OnDispatch(peer_id aPeer,
                   const wire::dispatch_msg& aDispatch,
                   instant aNow);
+  // The owner asks about dispatches in doubt. Tasks without a record are
+  // revoked: a dispatch of them that arrives later is refused.
   void OnSettle(peer_id aPeer, const wire::settle_msg& aSettle, instant aNow);
   void OnCancel(const wire::cancel_tasks_msg& aCancel, instant aNow);
   void OnAbandon(const wire::abandon_msg& aAbandon, instant aNow);
+  // Sends the results of the given tasks again.
   void OnFetch(peer_id aPeer, const wire::fetch_msg& aFetch);
   void OnVersionRead(const table_reply& aReply);
   void OnConfig(const wire::config_push_msg& aPush);
--- a/cactusmast/ids.h
+++ b/cactusmast/ids.h
@@ -21,10 +21,12 @@
 using instant = std::chrono::microseconds;
 
 // A connection to another process of the system, numbered by the transport
-// and never reused within a process.
+// and never reused within a process. A process that connects again gets a new
+// one.
 using peer_id = uint32_t;
 
-// A caller's open request, numbered by the API layer.
+// One open request of a caller, not the caller itself; numbered by the API
+// layer.
 using caller_id = uint64_t;
 
 // Identifies a job for as long as it is retained: a seeded 128-bit hash of
--- a/cactusmast/ports.h
+++ b/cactusmast/ports.h
@@ -66,8 +66,9 @@
   std::vector<table_row> mRows;
 };
 
-// The platform's transactional table. Calls return a request number at once.
-// The reply, also that the table is unavailable, arrives through the node's
+// The transactional table that entries and guards use; coordinators and
+// executors use metadata_store (table_watcher.h). Calls return a request number
+// at once. The reply, including one of Unavailable, arrives through the node's
 // OnTableReply.
 class table_store
 {
--- a/cactusmast/settings_reader.h
+++ b/cactusmast/settings_reader.h
@@ -48,7 +48,7 @@
       return;
     }
     if (!value.IsScalar() || value.Scalar().empty()) {
-      throw ErrorAt(value, aKey, "must be text");
+      throw ErrorAt(value, aKey, "must be non-empty text");
     }
     *aOut = value.Scalar();
   }
--- a/cactusmast/shard_owner.h
+++ b/cactusmast/shard_owner.h
@@ -38,8 +38,8 @@
 
 namespace cactusmast {
 
-// The step in an Unavailable reply by which an owner asks the sending entry to
-// look up the shard's owner again; callers never see it.
+// The value of failure::Step() in an Unavailable reply by which an owner asks
+// the sending entry to look up the shard's owner again; callers never see it.
 constexpr char kRouteStep[] = "route";
 
 struct owner_options
@@ -79,13 +79,15 @@
 // each.
 struct owner_safeguards
 {
-  bool mWaitForRecords = true;
-  bool mUseRecords = true;
-  bool mResolveBeforeRetry = true;
+  bool mWaitForRecords = true;     // of all workers that may hold some
+  bool mUseRecords = true;         // of tasks that earlier owners started
+  bool mResolveBeforeRetry = true; // ask the guard about dispatches in doubt
+  // Count a lease from the sending of the confirmed message, not from its
+  // confirmation, and subtract owner_options::mLeaseMargin.
   bool mUseLeaseMargin = true;
-  bool mDeduplicateJobs = true;
-  bool mStepDownWhenSuperseded = true;
-  bool mRecordAbandoned = true;
+  bool mDeduplicateJobs = true;        // recognise resubmitted jobs
+  bool mStepDownWhenSuperseded = true; // when another owner leased a guard
+  bool mRecordAbandoned = true;        // at guards; see mAbandoned
 };
 
 // A worker incarnation that may hold records of this shard.
@@ -183,9 +185,9 @@
   // One part of the state of the previous owner, which stepped down.
   void OnHandover(const wire::handover_msg& aPart, instant aNow);
 
-  // Each of the three answers aWaiter once: when the job is decided, with its
-  // current state when the waiter's time ends, or with an error; unless
-  // StepDown returns the waiter before.
+  // Each of the three answers aWaiter once: when the job is decided (every task
+  // has its final result), with its current state when the waiter's time ends,
+  // or with an error; unless StepDown returns the waiter before.
   void Submit(submission aSubmission, const waiter& aWaiter, instant aNow);
   void Watch(const std::string& aTeam,
              const job_id& aId,
@@ -244,7 +246,7 @@
     bool mQuarantined = false;
     uint32_t mSlots = 0;
     uint32_t mRunning = 0;
-    double mSlowness = 0; // of the first profile's tasks; about 1 on average
+    double mSlowness = 0; // for tasks of lane 0; about 1 on average
   };
   std::vector<worker_status> Workers(instant aNow) const;
 
@@ -291,7 +293,7 @@
     std::unordered_map<task_ref, in_flight_task, task_ref_hash, task_ref_equal>
       mInFlight;
     // Tasks that an earlier owner started and that still run; they occupy
-    // slots.
+    // slots. Used as a set: the value is always true.
     std::unordered_map<task_ref, bool, task_ref_hash, task_ref_equal> mAdopted;
     // Tasks that an earlier owner started, of jobs that were submitted again
     // here; their results are awaited.
@@ -377,7 +379,7 @@
   void AnswerFrom(const job_row& aRow, const waiter& aWaiter);
   void Refuse(const waiter& aWaiter, const failure& aError);
   // Finds a job of aTeam. A team cannot find jobs of other teams, even if it
-  // has their identity.
+  // knows their job_id.
   bool FindJobOfTeam(const std::string& aTeam,
                      const job_id& aId,
                      job_handle* aOut) const;
@@ -454,8 +456,8 @@
   // Job and token of each waiter, by the time when it is answered at the
   // latest. An entry may remain after its waiter was answered.
   std::multimap<instant, std::pair<job_handle, uint64_t>> mWaiterTimeouts;
-  // Jobs that were decided with tasks that did not run. Two guards record them
-  // with the next tick.
+  // Jobs that were decided with tasks that did not run. With the next tick,
+  // up to two leased guards (kRecordReplicas) record them.
   std::vector<task_ref> mAbandoned;
   // Jobs for which no known worker exists, to be failed if there is still none
   // after mDiscoveryTime.
--- a/cactusmast/table_watcher.h
+++ b/cactusmast/table_watcher.h
@@ -54,7 +54,8 @@
   bool mIsSnapshot = false; // a snapshot: the table has no other rows
 };
 
-// The platform's store, as far as table_watcher and stored_row need it.
+// The platform's store as coordinators and executors use it, through
+// table_watcher and stored_row. Entries and guards use table_store (ports.h).
 class metadata_store
 {
 public:
@@ -88,7 +89,7 @@
                 change_handler aOnChange,
                 event_sink& aEvents);
 
-  // Sends the next request, unless one is outstanding or backoff has not
+  // Sends the next request, unless one is outstanding or the backoff has not
   // passed.
   void Tick(instant aNow);
   // False from a reply of Unavailable until the next Ok.
@@ -107,7 +108,7 @@
   bool mHaveVersion = false;
   uint64_t mVersion = 0; // changes after this version are waited for
   bool mAvailable = true;
-  bool mStoreHasReplied = false;
+  bool mStoreHasReplied = false; // at least once since the start
   instant mNow{};
   instant mNextRequest{};
   duration mBackoff{};
--- a/cactusmast/task_queue.h
+++ b/cactusmast/task_queue.h
@@ -1,9 +1,9 @@
 // Queued tasks of one shard.
 //
-// Tasks wait in groups, one for each team and profile (lane), because a group
-// whose workers are all busy must not hold up another. Within a group, jobs
-// take turns task by task, so that a job of a thousand tasks does not hold up
-// a job of one.
+// Tasks wait in groups, one for each team and lane, because a group whose
+// workers are all busy must not hold up another. Within a group, jobs take
+// turns task by task, so that a job of a thousand tasks does not hold up a job
+// of one.
 //
 // For fairness between teams the queue keeps weighted virtual time: every
 // start advances its team's time by the expected run time divided by the
@@ -13,9 +13,9 @@
 // go to the teams that have work. The dispatcher decides from these times
 // which group is next.
 //
-// The cost of a step grows with the number of groups that have work, never
-// with the number of queued tasks; removing a job costs the same whether it
-// has one task or a thousand.
+// The cost of an operation grows with the number of groups that have work,
+// never with the number of queued tasks; removing a job costs the same whether
+// it has one task or a thousand.
 
 #ifndef CACTUSMAST_TASK_QUEUE_H_
 #define CACTUSMAST_TASK_QUEUE_H_
@@ -101,7 +101,7 @@
     uint32_t mTeam;
     uint32_t mQueued;
     instant mQueuedAt;
-    bool mInRing; // is in its group's ring
+    bool mInRing;
   };
 
   struct group_row
@@ -140,7 +140,8 @@
   std::vector<team_row> mTeams;
   std::unordered_map<job_handle, job_row> mJobs;
   uint32_t mTotal = 0;
-  double mVirtualNow = 0; // greatest virtual time of a team at a start
+  // The greatest virtual time that a team had when a task of it was taken.
+  double mVirtualNow = 0;
 };
 
 } // namespace cactusmast
--- a/cactusmast/testing/guard_node_test.cc
+++ b/cactusmast/testing/guard_node_test.cc
@@ -1,6 +1,7 @@
 // A guard alone, with peers that send what a faulty, stale or hostile entry
-// could send. For each safeguard, the same messages start the task when the
-// safeguard is switched off.
+// could send. For most safeguards, the same messages start the task when the
+// safeguard is switched off; mMonotonicConfig and mCloseLinksAfterPause are
+// tested by scenarios.
 
 #include <doctest/doctest.h>
 
@@ -257,7 +258,8 @@
   CHECK(fixture.mBackend.mStarts == 1);
 }
 
-TEST_CASE("a guard with the maximum of records refuses tasks and deletes none")
+TEST_CASE("a guard that holds the maximum number of records refuses tasks "
+          "and deletes none")
 {
   // If a record were deleted early, its task could start again. New tasks are
   // therefore refused until old records expire.
--- a/cactusmast/testing/profile_test.cc
+++ b/cactusmast/testing/profile_test.cc
@@ -79,7 +79,8 @@
 
 } // namespace
 
-TEST_CASE("preference messages batches tasks in fewer dispatch messages")
+TEST_CASE(
+  "the preference \"messages\" batches tasks into fewer dispatch messages")
 {
   uint64_t unbatched = DispatchMessagesFor(cost_preference::ResponseTime);
   uint64_t batched = DispatchMessagesFor(cost_preference::Messages);
--- a/cactusmast/testing/scenario_test.cc
+++ b/cactusmast/testing/scenario_test.cc
@@ -70,7 +70,7 @@
       [](safeguards& aSet) {
         aSet.mEntry.mShardOwner.mRecordAbandoned = false;
       } },
-    { "changes of an outdated revision are refused",
+    { "changes based on an outdated revision are refused",
       "operators_race",
       [](safeguards& aSet) { aSet.mEntry.mConfig.mCompareRevision = false; } },
     { "changes are read back after a lost reply",
@@ -108,7 +108,8 @@
   }
 }
 
-TEST_CASE("every safeguard is needed: its scenario fails without it")
+TEST_CASE(
+  "every safeguard listed here is needed: its scenario fails without it")
 {
   for (const mutant& tested : Mutants()) {
     scenario_safeguards reduced;
--- a/cactusmast/testing/settings_test.cc
+++ b/cactusmast/testing/settings_test.cc
@@ -135,7 +135,7 @@
   }
 }
 
-TEST_CASE("no parser crashes on random bytes")
+TEST_CASE("no parser crashes on valid texts with random changes")
 {
   std::mt19937 random(11);
   const std::string kSeeds[] = {
