--- a/cactusmast/testing/scenario_test.cc
+++ b/cactusmast/testing/scenario_test.cc
@@ -70,7 +70,7 @@
       [](safeguards& aSet) {
         aSet.mEntry.mShardOwner.mRecordAbandoned = false;
       } },
-    { "changes of an outdated revision are refused",
+    { "changes based on an outdated revision are refused",
       "operators_race",
       [](safeguards& aSet) { aSet.mEntry.mConfig.mCompareRevision = false; } },
     { "changes are read back after a lost reply",
@@ -78,7 +78,7 @@
       [](safeguards& aSet) { aSet.mEntry.mConfig.mReadBack = false; } },
     { "entries refuse older configurations",
       "old_configuration_returns",
-      [](safeguards& aSet) { aSet.mEntry.mConfig.mMonotonicVersion = false; } },
+      [](safeguards& aSet) { aSet.mEntry.mConfig.mMonotonicConfig = false; } },
     { "failing workers are quarantined",
       "failing_worker",
       [](safeguards& aSet) { aSet.mHealth.mEnabled = false; } },
@@ -108,7 +108,8 @@
   }
 }
 
-TEST_CASE("every safeguard is needed: its scenario fails without it")
+TEST_CASE(
+  "every safeguard listed here is needed: its scenario fails without it")
 {
   for (const mutant& tested : Mutants()) {
     scenario_safeguards reduced;
