--- a/cactusmast/api_json.h
+++ b/cactusmast/api_json.h
@@ -15,9 +15,9 @@
 // Limits of a caller's request.
 struct api_limits
 {
-  size_t mMaxBodyBytes = 8u << 20; // bytes
+  size_t mMaxBodyBytes = 8u << 20;
   uint32_t mMaxTasks = 1000;
-  size_t mMaxPayloadBytes = 256u << 10; // bytes of one task
+  size_t mMaxPayloadBytes = 256u << 10; // of one task
   size_t mMaxKey = 200;                 // characters
   // Maximum time for which a request waits for its job's answer.
   uint32_t mMaxWaitMs = 120000;
--- a/cactusmast/entry_directory.h
+++ b/cactusmast/entry_directory.h
@@ -37,8 +37,8 @@
   // a limit.
   std::vector<std::string> AddressesToDial(instant aNow);
   // The addresses that are connected or were so shortly before, and the own
-  // address if there is known. Addresses that this process only got from others
-  // are left out: processes that told them to each other would never forget
+  // address if it is known. Addresses that this process only got from others
+  // are left out: processes that passed them to each other would never forget
   // them.
   std::vector<std::string> LiveAddresses(instant aNow) const;
   // The number of connected addresses.
--- a/cactusmast/stored_row.h
+++ b/cactusmast/stored_row.h
@@ -21,7 +21,7 @@
 struct row_place
 {
   std::string mTable;
-  std::string mPartition; // partition
+  std::string mPartition;
   std::string mKey;
 };
 
--- a/cactusmast/testing/sized_load.h
+++ b/cactusmast/testing/sized_load.h
@@ -18,7 +18,7 @@
   size_t mInTime = 0; // completed within the objective of the world's route
   size_t mLate = 0;   // completed later
   size_t mRefused = 0;
-  double mInTimeWorkS = 0; // work time of all tasks of timely jobs
+  double mInTimeWorkS = 0; // work time of all tasks of the jobs in mInTime
   // Of completed jobs: response time over the run time of a task.
   std::vector<double> mRatios;
 };
--- a/cactusmast/timeout_model.h
+++ b/cactusmast/timeout_model.h
@@ -1,7 +1,7 @@
 // Forecasts run times from caller timeouts.
 //
 // Declared run times are often off by half. Callers know their own work: one
-// that asks for longer tasks usually also waits longer. For each route, a
+// that submits longer tasks usually also waits longer. For each route, a
 // linear regression is therefore fitted to caller timeouts and run times of
 // tasks that have ended:
 //
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -74,7 +74,7 @@
 expect "deadline in force" \
   "$(cli 1 profile show quote --json | json_field "d['deadline_ms']")" 15000
 
-echo "--- planned stops"
+echo "--- drain"
 for name in backend-1 backend-2 backend-3 guard-1 guard-2 guard-3 entry-1 \
   entry-2 table; do
   stop_process "$name"
--- a/shell/nested_context.h
+++ b/shell/nested_context.h
@@ -42,7 +42,7 @@
   void Wake();
   // Must be called before a source polls a new descriptor whose number an
   // earlier descriptor of this context may have had. Closing the earlier one
-  // removed it from the epoll set without this object being told.
+  // removed it from the epoll set without notifying this object.
   void RemoveDescriptor(int aFd);
 
 private:
