--- a/cactusmast/entry_node.h
+++ b/cactusmast/entry_node.h
@@ -143,7 +143,7 @@
               submission aSubmission,
               duration aWait,
               instant aNow);
-  void Watch(caller_id aCaller,
+  void Await(caller_id aCaller,
              const std::string& aTeam,
              const job_id& aId,
              duration aWait,
@@ -272,7 +272,7 @@
   peer_id OwnerPeer(uint32_t aShard, instant aNow) const;
 
   // Adds a request about an existing job: Await or Cancel.
-  void AddWatchOrCancel(request_kind aKind,
+  void AddAwaitOrCancel(request_kind aKind,
                         caller_id aCaller,
                         const std::string& aTeam,
                         const job_id& aId,
--- a/cactusmast/entry_requests.cc
+++ b/cactusmast/entry_requests.cc
@@ -58,13 +58,13 @@
 }
 
 void
-entry_node::Watch(caller_id aCaller,
+entry_node::Await(caller_id aCaller,
                   const std::string& aTeam,
                   const job_id& aId,
                   duration aWait,
                   instant aNow)
 {
-  AddWatchOrCancel(request_kind::Await, aCaller, aTeam, aId, aWait, aNow);
+  AddAwaitOrCancel(request_kind::Await, aCaller, aTeam, aId, aWait, aNow);
 }
 
 void
@@ -74,11 +74,11 @@
                    duration aWait,
                    instant aNow)
 {
-  AddWatchOrCancel(request_kind::Cancel, aCaller, aTeam, aId, aWait, aNow);
+  AddAwaitOrCancel(request_kind::Cancel, aCaller, aTeam, aId, aWait, aNow);
 }
 
 void
-entry_node::AddWatchOrCancel(request_kind aKind,
+entry_node::AddAwaitOrCancel(request_kind aKind,
                              caller_id aCaller,
                              const std::string& aTeam,
                              const job_id& aId,
@@ -181,7 +181,7 @@
     case request_kind::Await: {
       std::string teamName = aRow.mTeam;
       job_id id = aRow.mId;
-      owner.Watch(teamName, id, waiting, aNow);
+      owner.Await(teamName, id, waiting, aNow);
       break;
     }
     case request_kind::Cancel: {
@@ -244,7 +244,7 @@
   waiter waiting{ token, aNow + milliseconds(aRequest.wait_ms) };
   job_id id{ aRequest.job_hi, aRequest.job_lo };
   if (aRequest.kind == uint8_t(request_kind::Await)) {
-    owner.Watch(aRequest.team, id, waiting, aNow);
+    owner.Await(aRequest.team, id, waiting, aNow);
     return;
   }
   if (aRequest.kind == uint8_t(request_kind::Cancel)) {
@@ -348,7 +348,8 @@
     FailRequest(token, "no owner of the job's shard is known");
   }
   mSomePending = !pending.empty();
-  // In order of arrival, because a watch must follow the submission of its job.
+  // In order of arrival, because an Await must follow the submission of its
+  // job.
   std::sort(pending.begin(), pending.end());
   for (uint64_t token : pending) {
     Route(token, aNow);
--- a/cactusmast/shard_owner.h
+++ b/cactusmast/shard_owner.h
@@ -187,7 +187,7 @@
   // current state when the waiter's time ends, or with an error; unless
   // StepDown returns the waiter before.
   void Submit(submission aSubmission, const waiter& aWaiter, instant aNow);
-  void Watch(const std::string& aTeam,
+  void Await(const std::string& aTeam,
              const job_id& aId,
              const waiter& aWaiter,
              instant aNow);
--- a/cactusmast/shard_owner_accept.cc
+++ b/cactusmast/shard_owner_accept.cc
@@ -366,7 +366,7 @@
 }
 
 void
-shard_owner::Watch(const std::string& aTeam,
+shard_owner::Await(const std::string& aTeam,
                    const job_id& aId,
                    const waiter& aWaiter,
                    instant aNow)
@@ -414,7 +414,7 @@
 {
   job_handle job = 0;
   if (!FindJobOfTeam(aTeam, aId, &job)) {
-    Watch(aTeam, aId, aWaiter, aNow);
+    Await(aTeam, aId, aWaiter, aNow);
     return;
   }
   if (mJobs.At(job).mState != job_state::Running) {
--- a/cactusmast/testing/history.cc
+++ b/cactusmast/testing/history.cc
@@ -198,7 +198,7 @@
         auto withdrawal = withdrawnAt.find(event.mProcess);
         if (withdrawal != withdrawnAt.end() &&
             event.mTime > withdrawal->second + mOptions.mWithdrawalLimit) {
-          Report(promise::NothingAfterLeaving,
+          Report(promise::NoStartAfterWithdrawal,
                  event.mProcess + " started a task of " + event.mKey +
                    " after it withdrew");
         }
@@ -217,7 +217,7 @@
     }
     for (const history_event& event : mHistory) {
       if (event.mKind == event_kind::Answer && event.mText != "complete") {
-        Report(promise::PlannedStopCutsNothing,
+        Report(promise::DrainFailsNoJob,
                event.mKey + " ended " + event.mText +
                  " though processes were only drained");
       }
--- a/cactusmast/testing/history.h
+++ b/cactusmast/testing/history.h
@@ -103,9 +103,9 @@
   NonIdempotentOnce,
   // A backend server that has withdrawn starts no task after
   // check_options::mWithdrawalLimit.
-  NothingAfterLeaving,
+  NoStartAfterWithdrawal,
   // In a history with drains and without faults, every answer is "complete".
-  PlannedStopCutsNothing,
+  DrainFailsNoJob,
   // A new configuration is in force in every running process within
   // check_options::mConfigLimit, and no process goes back to an older one.
   ConfigurationInForce,
--- a/cactusmast/testing/history_test.cc
+++ b/cactusmast/testing/history_test.cc
@@ -157,7 +157,7 @@
         aHistory[5].mText = "failed";
       } },
     { "a backend server starts a task after it withdrew",
-      promise::NothingAfterLeaving,
+      promise::NoStartAfterWithdrawal,
       [](history& aHistory) {
         aHistory.push_back(ProcessEvent(8, event_kind::Withdrawn, "backend-1"));
         aHistory.push_back(Submit(9, 2, "b", 1));
@@ -165,7 +165,7 @@
         aHistory.push_back(Answer(13, 2, "b", 1));
       } },
     { "a drain makes a job fail",
-      promise::PlannedStopCutsNothing,
+      promise::DrainFailsNoJob,
       [](history& aHistory) {
         aHistory[5].mText = "failed";
         aHistory[5].mTasks[0] = { "failed", "unknown", "" };
--- a/cactusmast/testing/profile_test.cc
+++ b/cactusmast/testing/profile_test.cc
@@ -38,7 +38,7 @@
     request.mKey = "job-" + std::to_string(i);
     request.mProfile = "tested";
     request.mRunTime = aRunTime;
-    request.mPersistent = false;
+    request.mResubmit = false;
     prepared->At(prepared->Now() + milliseconds(i),
                  [&world = *prepared, request] { world.Submit(request); });
   }
--- a/cactusmast/testing/random_test.cc
+++ b/cactusmast/testing/random_test.cc
@@ -155,7 +155,7 @@
         // through another entry.
         caller_request duplicate = request;
         duplicate.mEntry++;
-        duplicate.mPersistent = false;
+        duplicate.mResubmit = false;
         mWorld->At(aStart + milliseconds(500 * i + 900),
                    [this, duplicate] { mWorld->Submit(duplicate); });
       }
@@ -198,7 +198,7 @@
         mWorld->Kill(GuardName(aFault));
         break;
       case fault_kind::LoseGuard:
-        mWorld->LoseMachine(GuardName(aFault));
+        mWorld->FailMachine(GuardName(aFault));
         break;
       case fault_kind::KillBackend:
         mWorld->KillBackend(GuardNumber(aFault));
@@ -219,7 +219,7 @@
         mWorld->WithdrawBackend(GuardNumber(aFault));
         break;
       case fault_kind::SilenceLink:
-        mWorld->Silence(LinkEnd(aFault), OtherEnd(aFault));
+        mWorld->LoseMessages(LinkEnd(aFault), OtherEnd(aFault));
         break;
       case fault_kind::BlockLink:
         mWorld->Block(LinkEnd(aFault), OtherEnd(aFault));
@@ -233,11 +233,11 @@
         break;
       case fault_kind::TableDown:
         mWorld->RecordFault();
-        mWorld->SetTable({ true, duration(0), 0 });
+        mWorld->SetTableFaults({ true, duration(0), 0 });
         break;
       case fault_kind::TableLosesReplies:
         mWorld->RecordFault();
-        mWorld->SetTable({ false, duration(0), 0.5 });
+        mWorld->SetTableFaults({ false, duration(0), 0.5 });
         break;
       case fault_kind::Change:
         ChangeProfile(aFault);
@@ -247,7 +247,7 @@
         break;
       case fault_kind::SlowBackend:
         mWorld->RecordFault();
-        mWorld->SetBackend(GuardNumber(aFault), 0.05, 0.3);
+        mWorld->SetBackendBehaviour(GuardNumber(aFault), 0.05, 0.3);
         break;
       case fault_kind::Cancel:
         mWorld->RecordFault();
@@ -307,10 +307,10 @@
         break;
       case fault_kind::TableDown:
       case fault_kind::TableLosesReplies:
-        mWorld->SetTable({});
+        mWorld->SetTableFaults({});
         break;
       case fault_kind::SlowBackend:
-        mWorld->SetBackend(GuardNumber(aFault), 1, 0);
+        mWorld->SetBackendBehaviour(GuardNumber(aFault), 1, 0);
         break;
       default:
         break;
--- a/cactusmast/testing/scenario.cc
+++ b/cactusmast/testing/scenario.cc
@@ -137,9 +137,9 @@
     } else if (action == "table") {
       table_faults faults;
       faults.mDown = Get<bool>(aStep, "down", false);
-      faults.mLoseReply = Get<double>(aStep, "lose_reply", 0);
+      faults.mLostReplyRate = Get<double>(aStep, "lose_reply", 0);
       faults.mExtraDelay = GetTime(aStep, "slow", duration(0));
-      mWorld->SetTable(faults);
+      mWorld->SetTableFaults(faults);
     } else if (action == "push_old_config") {
       mWorld->PushOldConfig(Get<uint64_t>(aStep, "version", 1));
     } else if (action == "silence" || action == "block" ||
@@ -160,9 +160,9 @@
     request.mProfile = Get<std::string>(aStep, "profile", "quote");
     request.mTasks = Get<uint32_t>(aStep, "tasks", 1);
     request.mRunTime = GetTime(aStep, "run", milliseconds(100));
-    request.mWait = GetTime(aStep, "wait", seconds(100));
+    request.mTimeout = GetTime(aStep, "wait", seconds(100));
     request.mEntry = EntryNumber(aStep);
-    request.mPersistent = Get<bool>(aStep, "persistent", true);
+    request.mResubmit = Get<bool>(aStep, "persistent", true);
     mWorld->Submit(request);
   }
 
@@ -198,7 +198,7 @@
     bool both = Get<bool>(aStep, "both", false);
     auto apply = [&](const std::string& aFrom, const std::string& aTo) {
       if (aAction == "silence") {
-        mWorld->Silence(aFrom, aTo);
+        mWorld->LoseMessages(aFrom, aTo);
       } else if (aAction == "block") {
         mWorld->Block(aFrom, aTo);
       } else if (aAction == "unblock") {
@@ -226,7 +226,7 @@
     } else if (aAction == "accelerators") {
       mWorld->SetAccelerators(guard, Get<uint32_t>(aStep, "count", 1));
     } else if (aAction == "backend") {
-      mWorld->SetBackend(
+      mWorld->SetBackendBehaviour(
         guard, Get<double>(aStep, "speed", 1), Get<double>(aStep, "fail", 0));
     } else {
       throw std::runtime_error("unknown step " + aAction);
@@ -241,7 +241,7 @@
                          : Resolve(aStep["process"].as<std::string>());
     static const std::map<std::string, void (world::*)(const std::string&)>
       kSteps = {
-        { "kill", &world::Kill },       { "lose_machine", &world::LoseMachine },
+        { "kill", &world::Kill },       { "lose_machine", &world::FailMachine },
         { "restart", &world::Restart }, { "pause", &world::Pause },
         { "resume", &world::Resume },   { "drain", &world::Drain }
       };
@@ -280,7 +280,7 @@
       auto guard = aExpected["backend"].as<uint32_t>();
       uint64_t maxStarts = Get<uint64_t>(aExpected, "at_most", UINT64_MAX);
       uint64_t minStarts = Get<uint64_t>(aExpected, "at_least", 0);
-      uint64_t starts = mWorld->StartsAt(guard);
+      uint64_t starts = mWorld->TaskStartsAt(guard);
       if (starts > maxStarts || starts < minStarts) {
         AddFailure("tasks started by backend " + std::to_string(guard) + ": " +
                    std::to_string(starts));
@@ -307,7 +307,7 @@
         AddFailure(aKey + " began with" + allAnswers + ", not " + expected);
       }
     }
-    uint32_t starts = mWorld->Starts(aKey);
+    uint32_t starts = mWorld->TaskStarts(aKey);
     if (aExpected["starts"] && starts != aExpected["starts"].as<uint32_t>()) {
       AddFailure(aKey + ": tasks started: " + std::to_string(starts));
     }
--- a/cactusmast/testing/sized_world.cc
+++ b/cactusmast/testing/sized_world.cc
@@ -79,7 +79,7 @@
   for (auto& process : mExecutors) {
     bool reads = process->mUp && mNow >= process->mPausedUntil &&
                  process->mCore->WantsEvacuations(mNow);
-    mStoreAsks += reads ? 1 : 0;
+    mStoreReads += reads ? 1 : 0;
     if (reads && mNow >= mStoreBackAt) {
       process->mCore->OnEvacuations(evacuation_update{ mStore, mNow }, mNow);
     }
@@ -342,7 +342,7 @@
   mStartedJobs.insert(aTask.mJob);
   auto evacuated = mEvacuatedAt.find(DataCenterOf(aServer));
   if (evacuated != mEvacuatedAt.end() &&
-      mNow > evacuated->second + mEvacuationBound) {
+      mNow > evacuated->second + mMaxEvacuationAge) {
     AddViolation("task of job " + std::to_string(aTask.mJob) +
                  " starts in a data centre that is being evacuated");
   }
--- a/cactusmast/testing/sized_world.h
+++ b/cactusmast/testing/sized_world.h
@@ -168,7 +168,7 @@
   void RefuseUntilStoreIsRead() { mRefusesUnconfigured = true; }
   // For tests with an unavailable store: time from an evacuation until no task
   // may start in the data centre.
-  void SetMaxEvacuationAge(duration aBound) { mEvacuationBound = aBound; }
+  void SetMaxEvacuationAge(duration aMaxAge) { mMaxEvacuationAge = aMaxAge; }
   void DrainExecutor(size_t aServer);
   void DrainServer(size_t aServer);
 
@@ -187,7 +187,7 @@
   size_t MessagesOut() const { return mMessagesOut; }
   size_t MessagesIn() const { return mMessagesIn; }
   // Reads of the evacuations by executors.
-  size_t StoreReads() const { return mStoreAsks; }
+  size_t StoreReads() const { return mStoreReads; }
   // Connections that one side closed because the other had timed out.
   size_t ClosedLinks() const { return mClosedLinks; }
   const std::vector<caller_record>& Callers() const { return mCallers; }
@@ -226,10 +226,10 @@
   size_t mDataCenters;
   evacuation_state mStore{ 1, {} };
   std::map<std::string, instant> mEvacuatedAt;
-  duration mEvacuationBound = std::chrono::seconds(1);
+  duration mMaxEvacuationAge = std::chrono::seconds(1);
   instant mStoreBackAt{};
   instant mNextStoreTick{};
-  size_t mStoreAsks = 0;
+  size_t mStoreReads = 0;
   bool mRefusesUnconfigured = false; // see RefuseUntilStoreIsRead
   instant mNow{ std::chrono::seconds(100) };
   std::mt19937 mRandom;
--- a/cactusmast/testing/world.h
+++ b/cactusmast/testing/world.h
@@ -50,7 +50,7 @@
   // Added to the latency of every operation.
   duration mExtraDelay{};
   // Probability, 0 to 1, that a commit which took effect gets Unavailable.
-  double mLoseReply = 0;
+  double mLostReplyRate = 0;
 };
 
 struct caller_request
@@ -63,12 +63,12 @@
   // Run time of each task on a backend server of speed 1.
   duration mRunTime = std::chrono::milliseconds(100);
   // Caller timeout.
-  duration mWait = std::chrono::seconds(60);
+  duration mTimeout = std::chrono::seconds(60);
   // Number of the preferred entry, from 1.
   uint32_t mEntry = 1;
   // Resubmits, under the same key and through the next entry, if no entry is
   // available, the connection is lost or the reply sets retry_after_ms.
-  bool mPersistent = true;
+  bool mResubmit = true;
 };
 
 class world
@@ -99,7 +99,7 @@
   void Kill(const std::string& aName);
   // The whole machine fails, with the backend server: peers get no message
   // and see no closed connection.
-  void LoseMachine(const std::string& aName);
+  void FailMachine(const std::string& aName);
   // Starts a stopped process as a new incarnation. One that is draining is
   // restarted after it has stopped; one that is running is left alone.
   void Restart(const std::string& aName);
@@ -110,14 +110,14 @@
   void Drain(const std::string& aName);
   // The open connections between the two lose all messages from now on,
   // without being closed; new connections work.
-  void Silence(const std::string& aLeft, const std::string& aRight);
+  void LoseMessages(const std::string& aLeft, const std::string& aRight);
   // Holds back messages from aFrom to aTo until Unblock(). If aTo is "table",
   // the table is unavailable to aFrom.
   void Block(const std::string& aFrom, const std::string& aTo);
   void Unblock(const std::string& aFrom, const std::string& aTo);
   // Messages that aFrom sends to aTo from now on take longer by aBy.
   void Delay(const std::string& aFrom, const std::string& aTo, duration aBy);
-  void SetTable(const table_faults& aFaults) { mTableFaults = aFaults; }
+  void SetTableFaults(const table_faults& aFaults) { mTableFaults = aFaults; }
   // Sends configuration version aVersion to all connected processes, as a
   // stale process would.
   void PushOldConfig(uint64_t aVersion);
@@ -130,12 +130,12 @@
   void AnnounceBackend(uint32_t aGuard);
   // aSpeed divides the run time of tasks; aFailureRate is the probability, 0
   // to 1, that a task fails.
-  void SetBackend(uint32_t aGuard, double aSpeed, double aFailureRate);
+  void SetBackendBehaviour(uint32_t aGuard, double aSpeed, double aFailureRate);
   void SetSlots(uint32_t aGuard, uint32_t aSlots);
   void SetAccelerators(uint32_t aGuard, uint32_t aCount);
   // Marks the history as one with faults, which relaxes some checks. Kill(),
-  // LoseMachine(), Pause(), Silence(), Block(), Delay(), PushOldConfig() and
-  // KillBackend() call it themselves.
+  // FailMachine(), Pause(), LoseMessages(), Block(), Delay(), PushOldConfig()
+  // and KillBackend() call it themselves.
   void RecordFault();
 
   const history& History() const { return mHistory; }
@@ -143,8 +143,8 @@
   // "refused:" and the error.
   std::vector<std::string> Answers(const std::string& aKey) const;
   // Number of task starts of a job, and on the backend server of a guard.
-  uint32_t Starts(const std::string& aKey) const;
-  uint64_t StartsAt(uint32_t aGuard) const;
+  uint32_t TaskStarts(const std::string& aKey) const;
+  uint64_t TaskStartsAt(uint32_t aGuard) const;
   // Commits that took effect, and reads that were sent.
   uint64_t TableWrites() const { return mTableWrites; }
   uint64_t TableReads() const { return mTableReads; }
--- a/cactusmast/testing/world_callers.cc
+++ b/cactusmast/testing/world_callers.cc
@@ -66,7 +66,7 @@
   for (uint32_t i = 0; i < request.mTasks; i++) {
     job.mPayloads.push_back(MakePayload(request.mKey, i, request.mRunTime));
   }
-  duration timeout = request.mWait;
+  duration timeout = request.mTimeout;
   At(mNow + mOptions.mLatency, [this, entry, id, job, timeout] {
     Deliver(*entry, [this, entry, id, job, timeout] {
       entry->mEntry->Submit(id, job, timeout, mNow);
@@ -95,7 +95,7 @@
     submissions += request.mRequest.mKey == previous.mKey ? 1 : 0;
   }
   bool tooLate = mNow >= mOptions.mResubmitUntil;
-  if (!previous.mPersistent || submissions >= kMaxSubmissions || tooLate) {
+  if (!previous.mResubmit || submissions >= kMaxSubmissions || tooLate) {
     return;
   }
   At(mNow + std::max<duration>(kMinResubmitDelay, aDelay), [this, previous] {
@@ -197,7 +197,7 @@
 }
 
 uint32_t
-world::Starts(const std::string& aKey) const
+world::TaskStarts(const std::string& aKey) const
 {
   return uint32_t(std::count_if(
     mHistory.begin(), mHistory.end(), [&aKey](const history_event& aEvent) {
@@ -206,7 +206,7 @@
 }
 
 uint64_t
-world::StartsAt(uint32_t aGuard) const
+world::TaskStartsAt(uint32_t aGuard) const
 {
   return mProcesses.at("guard-" + std::to_string(aGuard))->mServer.mStarts;
 }
--- a/cactusmast/testing/world_fakes.h
+++ b/cactusmast/testing/world_fakes.h
@@ -307,7 +307,7 @@
       }
       reply.mStatus = table_status::Ok;
       std::uniform_real_distribution<double> uniform(0, 1);
-      if (uniform(mWorld.mRandom) < mWorld.mTableFaults.mLoseReply) {
+      if (uniform(mWorld.mRandom) < mWorld.mTableFaults.mLostReplyRate) {
         reply.mStatus = table_status::Unavailable;
       }
       return reply;
--- a/cactusmast/testing/world_faults.cc
+++ b/cactusmast/testing/world_faults.cc
@@ -36,7 +36,7 @@
 }
 
 void
-world::LoseMachine(const std::string& aName)
+world::FailMachine(const std::string& aName)
 {
   RecordFault();
   process& lost = Find(aName);
@@ -119,7 +119,7 @@
 }
 
 void
-world::Silence(const std::string& aLeft, const std::string& aRight)
+world::LoseMessages(const std::string& aLeft, const std::string& aRight)
 {
   RecordFault();
   for (auto& [id, link] : mConnections) {
@@ -231,7 +231,7 @@
 }
 
 void
-world::SetBackend(uint32_t aGuard, double aSpeed, double aFailureRate)
+world::SetBackendBehaviour(uint32_t aGuard, double aSpeed, double aFailureRate)
 {
   backend_state& server = Find("guard-" + std::to_string(aGuard)).mServer;
   server.mSpeed = aSpeed;
--- a/cmd/cactusmast_main.cc
+++ b/cmd/cactusmast_main.cc
@@ -157,7 +157,7 @@
       throw failure(error_code::Unavailable,
                     "send request",
                     mUrl,
-                    response.mText,
+                    response.mFaultText,
                     notSent ? run_state::NotRun : run_state::Unknown);
     }
     return response;
--- a/cmd/evacuations_command.cc
+++ b/cmd/evacuations_command.cc
@@ -22,7 +22,7 @@
     throw failure(error_code::Unavailable,
                   "read metrics",
                   aAddress,
-                  response.mText,
+                  response.mFaultText,
                   run_state::NotRun);
   }
   return response.mBody;
--- a/shell/backend_client.cc
+++ b/shell/backend_client.cc
@@ -54,7 +54,7 @@
     completion.mOutcome = task_outcome::Failed;
     completion.mRunState = run_state::Unknown;
     completion.mReason = task_reason::BackendLost;
-    completion.mOutput = aResponse.mText;
+    completion.mOutput = aResponse.mFaultText;
     return completion;
   }
   if (aResponse.mStatus == kOk) {
--- a/shell/coordinator_daemon.cc
+++ b/shell/coordinator_daemon.cc
@@ -501,7 +501,8 @@
 bool
 coordinator_daemon::IsDrained()
 {
-  return !AcceptsJobs() && mCoordinator.OpenJobs() == 0 && mFront->Open() == 0;
+  return !AcceptsJobs() && mCoordinator.OpenJobs() == 0 &&
+         mFront->OpenExchanges() == 0;
 }
 
 void
--- a/shell/coordinator_requests.cc
+++ b/shell/coordinator_requests.cc
@@ -40,7 +40,7 @@
   http_answer answer;
   answer.mStatus = aStatus;
   answer.mBody = aBody;
-  answer.mClose = DrainingFor() > kCloseAfter;
+  answer.mCloseConnection = DrainingFor() > kCloseAfter;
   mFront->Answer(aExchange, answer);
 }
 
@@ -51,7 +51,7 @@
             { { "reason", aError.what() },
               { "code", std::string(Name(aError.Code())) } });
   http_answer answer = ErrorAnswer(aError);
-  answer.mClose = IsDraining();
+  answer.mCloseConnection = IsDraining();
   mFront->Answer(aExchange, answer);
 }
 
--- a/shell/entry_daemon.cc
+++ b/shell/entry_daemon.cc
@@ -76,8 +76,8 @@
   transport_options transport;
   transport.mListen = process.mListen;
   transport.mSharedKey = process.mSharedKey;
-  transport.mMaxFrame = process.mMaxFrameBytes;
-  transport.mMaxSend = process.mMaxSendBytes;
+  transport.mMaxFrameBytes = process.mMaxFrameBytes;
+  transport.mMaxUnsentBytes = process.mMaxSendBytes;
   transport.mSelf.mRole = process_role::Entry;
   transport.mSelf.mName = process.mName;
   transport.mSelf.mIncarnation = mIncarnation;
@@ -194,7 +194,7 @@
                      aReply.tasks.size() == 1;
   if (isRawAnswer) {
     answer.mBody = aReply.tasks[0].output;
-    answer.mType = "application/octet-stream";
+    answer.mContentType = "application/octet-stream";
   } else {
     answer.mBody = RenderJobReply(open.mJob, aReply);
     bool failedRun = open.mRaw && aReply.error == 0 &&
@@ -389,7 +389,7 @@
     aExchange.QueryNumber("wait_ms", 0, mSettings.mApi.mMaxWaitMs));
   mOpenRequests[aExchange.Id()] = { id, false };
   if (aExchange.Method() == "GET") {
-    mNode->Watch(aExchange.Id(), teamName, id, wait, Now());
+    mNode->Await(aExchange.Id(), teamName, id, wait, Now());
   } else if (aExchange.Method() == "DELETE") {
     mNode->Cancel(aExchange.Id(), teamName, id, wait, Now());
   } else {
@@ -565,7 +565,7 @@
     { "requests_forwarded",
       "Requests forwarded to other entries.",
       mNode->ForwardedRequests() },
-    { "http_requests", "HTTP requests.", mHttp->Served() },
+    { "http_requests", "HTTP requests.", mHttp->ReceivedRequests() },
     { "peer_bytes_received", "Bytes from peers.", transport.mBytesIn },
     { "peer_bytes_sent", "Bytes to peers.", transport.mBytesOut },
     { "peer_messages_received", "Messages from peers.", transport.mMessagesIn },
@@ -576,7 +576,7 @@
       transport.mRefusedPeers },
     { "send_budget_spent",
       "Peers closed with too much unsent output.",
-      transport.mSendBudgetSpent },
+      transport.mSendBudgetExceeded },
     { "table_reads", "Reads of the table.", mTable.Counters().mReads },
     { "table_writes", "Writes to the table.", mTable.Counters().mWrites },
     { "table_unavailable",
--- a/shell/guard_daemon.cc
+++ b/shell/guard_daemon.cc
@@ -100,8 +100,8 @@
   transport_options transport;
   transport.mListen = process.mListen;
   transport.mSharedKey = process.mSharedKey;
-  transport.mMaxFrame = process.mMaxFrameBytes;
-  transport.mMaxSend = process.mMaxSendBytes;
+  transport.mMaxFrameBytes = process.mMaxFrameBytes;
+  transport.mMaxUnsentBytes = process.mMaxSendBytes;
   transport.mSelf.mRole = process_role::Guard;
   transport.mSelf.mName = process.mName;
   transport.mSelf.mIncarnation = MakeIncarnation();
--- a/shell/http_client.cc
+++ b/shell/http_client.cc
@@ -38,7 +38,7 @@
     response.mFault = refused     ? http_fault::Refused
                       : cancelled ? http_fault::Cancelled
                                   : http_fault::Broken;
-    response.mText = aError->message;
+    response.mFaultText = aError->message;
     return response;
   }
   response.mStatus = int(soup_message_get_status(aMessage));
@@ -178,7 +178,7 @@
   if (message == nullptr) {
     http_response response;
     response.mFault = http_fault::Refused;
-    response.mText = "not a URL: " + aRequest.mUrl;
+    response.mFaultText = "not a URL: " + aRequest.mUrl;
     return response;
   }
   GError* error = nullptr;
--- a/shell/http_client.h
+++ b/shell/http_client.h
@@ -43,7 +43,7 @@
   http_fault mFault = http_fault::None;
   int mStatus = 0;        // HTTP status code; 0 after a fault
   std::string mBody;      // empty after a fault
-  std::string mText;      // describes the fault; empty without one
+  std::string mFaultText; // empty without a fault
   std::string mRunHeader; // value of X-Run; empty when absent
 };
 
--- a/shell/http_server.cc
+++ b/shell/http_server.cc
@@ -500,7 +500,7 @@
     // Nobody reads this answer. It makes libsoup close its end.
     http_answer answer;
     answer.mStatus = SOUP_STATUS_SERVICE_UNAVAILABLE;
-    answer.mClose = true;
+    answer.mCloseConnection = true;
     Answer(id, answer);
     mOnDisconnect(id);
   }
@@ -545,7 +545,7 @@
   g_signal_handler_disconnect(message, exchange->mFinishedHandler);
   soup_server_message_set_status(message, guint(aAnswer.mStatus), nullptr);
   soup_server_message_set_response(message,
-                                   aAnswer.mType.c_str(),
+                                   aAnswer.mContentType.c_str(),
                                    SOUP_MEMORY_COPY,
                                    aAnswer.mBody.data(),
                                    aAnswer.mBody.size());
@@ -556,7 +556,7 @@
       "Retry-After",
       std::to_string(seconds).c_str());
   }
-  if (aAnswer.mClose) {
+  if (aAnswer.mCloseConnection) {
     soup_message_headers_replace(
       soup_server_message_get_response_headers(message), "Connection", "close");
   }
--- a/shell/http_server.h
+++ b/shell/http_server.h
@@ -28,11 +28,11 @@
   int mStatus = 200;
   std::string mBody;
   // The Content-Type.
-  std::string mType = "application/json";
+  std::string mContentType = "application/json";
   // Sent as Retry-After, rounded up to seconds. 0 sends no such header.
   int64_t mRetryAfterMs = 0;
   // Whether the connection is closed after this answer.
-  bool mClose = false;
+  bool mCloseConnection = false;
 };
 
 // The answer that carries aError to the client.
@@ -75,7 +75,7 @@
   // The context that the sources of the message's connection belong to.
   nested_context* mContext = nullptr;
   gulong mFinishedHandler = 0; // signal handler id
-  // Whether libsoup was told to wait for the answer.
+  // Whether the message is paused in libsoup until the answer.
   bool mPaused = false;
 };
 
@@ -110,9 +110,9 @@
   void CloseIdle();
 
   // Requests that have not been answered yet.
-  size_t Open() const { return mExchanges.size(); }
+  size_t OpenExchanges() const { return mExchanges.size(); }
   // Requests received since the start.
-  uint64_t Served() const { return mRequestCount; }
+  uint64_t ReceivedRequests() const { return mRequestCount; }
 
 private:
   // Connections whose sources share a nested context.
--- a/shell/instance_daemon.cc
+++ b/shell/instance_daemon.cc
@@ -55,10 +55,10 @@
   transport_options transport;
   transport.mListen = mInstance.PeerAddress();
   transport.mSharedKey = mInstance.mSharedKey;
-  transport.mMaxFrame = kMaxFrameBytes;
-  transport.mMaxSend = kMaxUnsentBytes;
-  transport.mHandshakeLimitMs = kHandshakeTimeoutMs;
-  transport.mConnectLimitMs = kConnectTimeoutMs;
+  transport.mMaxFrameBytes = kMaxFrameBytes;
+  transport.mMaxUnsentBytes = kMaxUnsentBytes;
+  transport.mHandshakeTimeoutMs = kHandshakeTimeoutMs;
+  transport.mConnectTimeoutMs = kConnectTimeoutMs;
   transport.mKeepAlive = true;
   transport.mSelf.mRole = mRole;
   transport.mSelf.mName = mInstance.mName;
@@ -76,7 +76,8 @@
                                  AddMetrics(&page);
                                  AddProcessMetrics(&page);
                                  http_answer answer;
-                                 answer.mType = "text/plain; version=0.0.4";
+                                 answer.mContentType =
+                                   "text/plain; version=0.0.4";
                                  answer.mBody = page.Render();
                                  mMetricsServer->Answer(aExchange.Id(), answer);
                                },
--- a/shell/peer_transport.cc
+++ b/shell/peer_transport.cc
@@ -164,7 +164,7 @@
 peer_transport::AddLink(gobject_ptr<GSocket> aSocket, link_state aState)
 {
   SetSocketOptions(aSocket.get());
-  auto owned = std::make_unique<link>(mOptions.mMaxFrame);
+  auto owned = std::make_unique<link>(mOptions.mMaxFrameBytes);
   owned->mOwner = this;
   owned->mId = mNextId++;
   owned->mState = aState;
@@ -494,10 +494,10 @@
   }
   EncodeFrame(aMessage, &target.mOutput);
   mCounters.mMessagesOut++;
-  if (target.mOutput.size() - target.mOutputSent > mOptions.mMaxSend) {
+  if (target.mOutput.size() - target.mOutputSent > mOptions.mMaxUnsentBytes) {
     // The peer has stopped reading. Whether it got the messages is resolved by
     // asking it after it has connected again.
-    mCounters.mSendBudgetSpent++;
+    mCounters.mSendBudgetExceeded++;
     mEvents.Emit(event_code::BudgetSpent,
                  { { "budget", "send" }, { "peer", target.mPeerName } });
     CloseLink(target, true);
@@ -568,7 +568,7 @@
     bool connecting = checked.mState == link_state::Connecting;
     bool inHandshake = connecting || checked.mState == link_state::Handshaking;
     uint32_t limitMs =
-      connecting ? mOptions.mConnectLimitMs : mOptions.mHandshakeLimitMs;
+      connecting ? mOptions.mConnectTimeoutMs : mOptions.mHandshakeTimeoutMs;
     if (inHandshake && now - checked.mCreatedAt > gint64(limitMs) * 1000) {
       CloseLink(checked, false);
     }
--- a/shell/peer_transport.h
+++ b/shell/peer_transport.h
@@ -32,14 +32,14 @@
   peer_identity mSelf;
   std::string mSharedKey;
   // Maximum size of a received frame, in bytes.
-  size_t mMaxFrame = 16u << 20;
+  size_t mMaxFrameBytes = 16u << 20;
   // Send budget: maximum number of unsent bytes of one peer.
-  size_t mMaxSend = 32u << 20;
+  size_t mMaxUnsentBytes = 32u << 20;
   // From connecting or accepting until the peer has proved its identity.
-  uint32_t mHandshakeLimitMs = 3000;
+  uint32_t mHandshakeTimeoutMs = 3000;
   // Until the other machine accepts the connection. Its kernel does this
   // without the process.
-  uint32_t mConnectLimitMs = 3000;
+  uint32_t mConnectTimeoutMs = 3000;
   // Whether the kernel probes idle connections and closes those on which data
   // is not acknowledged. Without this, a machine that fails without closing its
   // connections is detected only by a listener that expects messages.
@@ -53,9 +53,9 @@
   uint64_t mBytesOut = 0;
   uint64_t mMessagesIn = 0;
   uint64_t mMessagesOut = 0;
-  uint64_t mProtocolErrors = 0;  // malformed, oversized or unexpected frames
-  uint64_t mRefusedPeers = 0;    // peers without a valid identity or proof
-  uint64_t mSendBudgetSpent = 0; // connections closed for that reason
+  uint64_t mProtocolErrors = 0;     // malformed, oversized or unexpected frames
+  uint64_t mRefusedPeers = 0;       // peers without a valid identity or proof
+  uint64_t mSendBudgetExceeded = 0; // connections closed for that reason
 };
 
 // Receives what happens on the connections.
--- a/shell/testing/http_server_test.cc
+++ b/shell/testing/http_server_test.cc
@@ -98,13 +98,13 @@
   });
 
   int waiting = SendRequest(server.mPort);
-  TurnUntil(handled);
+  RunLoopUntil(handled);
   CHECK_FALSE(disconnected);
   close(waiting);
 
   handled = false;
   close(SendRequest(server.mPort));
-  TurnUntil(handled);
+  RunLoopUntil(handled);
   CHECK(disconnected);
 }
 
@@ -136,7 +136,7 @@
     handled = true;
   });
   int client = SendRequest(server.mPort);
-  TurnUntil(handled);
+  RunLoopUntil(handled);
   server.mServer->Answer(pendingId, {});
   gint64 answeredAt = g_get_monotonic_time();
   ExpectAnswers(client, 1);
@@ -234,13 +234,13 @@
     },
     [&](uint64_t aId) { disconnected = aId == pendingId; });
   int client = SendRequest(server.mPort);
-  TurnUntil(handled);
+  RunLoopUntil(handled);
   CHECK_FALSE(disconnected);
   gint64 closedAt = g_get_monotonic_time();
   close(client);
-  TurnUntil(disconnected);
+  RunLoopUntil(disconnected);
   CHECK(g_get_monotonic_time() - closedAt < G_USEC_PER_SEC);
-  CHECK(server.mServer->Open() == 0);
+  CHECK(server.mServer->OpenExchanges() == 0);
 }
 
 } // namespace cactusmast::testing
--- a/shell/testing/loopback.cc
+++ b/shell/testing/loopback.cc
@@ -25,7 +25,7 @@
 }
 
 void
-TurnUntil(const bool& aDone)
+RunLoopUntil(const bool& aDone)
 {
   gint64 deadline = g_get_monotonic_time() + 5 * G_USEC_PER_SEC;
   while (!aDone && g_get_monotonic_time() < deadline) {
--- a/shell/testing/loopback.h
+++ b/shell/testing/loopback.h
@@ -27,7 +27,7 @@
 
 // Runs the main loop until aDone is true. The test fails after 5 seconds.
 void
-TurnUntil(const bool& aDone);
+RunLoopUntil(const bool& aDone);
 
 } // namespace cactusmast::testing
 
