--- a/cactusmast/guard_node.cc
+++ b/cactusmast/guard_node.cc
@@ -339,10 +339,7 @@
 guard_node::Announce(const backend_announcement& aBackend, instant aNow)
 {
   if (mDraining) {
-    throw failure(error_code::Draining,
-                  "announce",
-                  mOptions.mName,
-                  "the guard is draining");
+    throw failure(error_code::Draining, "announce", mOptions.mName, "stopping");
   }
   bool changed = !mAnnounced || mBackend.mServices != aBackend.mServices ||
                  mBackend.mSlots != aBackend.mSlots ||
--- a/shell/coordinator_requests.cc
+++ b/shell/coordinator_requests.cc
@@ -192,8 +192,7 @@
                                    const route& aRoute) const
 {
   if (aExchange.Body().size() > aTable.Config().mMaxBodyBytes) {
-    return failure(
-      error_code::TooLarge, "read request", "caller", "body too large");
+    return failure(error_code::TooLarge, "read request", "caller", "body");
   }
   if (aRoute.mNeedsTickets) {
     return MakeRefusal(error_code::Unavailable,
