--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Plays days of a site with each mechanism of deciding switched off in turn and
-# prints what the worth loses without it.
+# Runs days of a site with each decision mechanism switched off in turn, and
+# prints how much worth is lost without it.
 #
 #   scripts/ablation.sh SITE [DAY...]
 #
-# Without days, all standard days of the site. Environment: SEEDS, one or more
-# numbers (default "1"); MECHANISMS, their names (default: all of
-# cactusmast/mechanisms.cc); and that of bench_trees.sh.
+# Without DAY, all standard days of the site are run. Environment: SEEDS, one or
+# more numbers (default "1"); MECHANISMS, names of mechanisms (default: all in
+# cactusmast/mechanisms.cc); and the variables of bench_trees.sh.
 set -eu
 [ $# -ge 1 ] || { sed -n '2,9s/^# \{0,1\}//p' "$0"; exit 2; }
 site=$(realpath "$1")
--- a/scripts/bench_trees.sh
+++ b/scripts/bench_trees.sh
@@ -1,7 +1,8 @@
-# Sourced by scripts that play days in several trees: copies of the repository
-# that differ in commit or settings. Expects in the environment FLEETBENCH, the
-# operators' bench (by default the fleetbench on PATH); JOBS, days played at a
-# time (default 2); FLAGS, further options of the bench such as --no-cpu.
+# Functions for scripts that run days in several trees, which are copies of the
+# repository that differ in commit or settings. Source it. Environment:
+# FLEETBENCH, the operators' benchmark program (default: fleetbench on PATH);
+# JOBS, number of days that run in parallel (default 2); FLAGS, further options
+# of that program, such as --no-cpu.
 
 root=$(git rev-parse --show-toplevel)
 bench=$(realpath "$(command -v "${FLEETBENCH:-fleetbench}")")
@@ -14,8 +15,8 @@
   sed -n '/^\[\[day\]\]/,/^seed/s/^name = "\(.*\)"/\1/p' "$1"
 }
 
-# A tree to play in; "." copies the working tree, so that edits meanwhile change
-# nothing.
+# Creates the tree of a side. A commit of "." copies the working tree, so that
+# later edits have no effect on the runs.
 make_tree() { # SIDE COMMIT
   if [ "$2" = . ]; then
     mkdir "$work/$1"
@@ -40,12 +41,12 @@
 }
 export -f play_day
 
-# Reads lines SIDE SITE DAY SEED from standard input.
+# Runs a day for each line SIDE SITE DAY SEED of standard input.
 play_all() { # WHY
   why=$1 xargs -P "${JOBS:-2}" -L 1 bash -c 'play_day "$@" "$why"' play_day
 }
 
-# The journal entries of all plays go to the repository.
+# Copies the journal entries of all runs into the repository.
 collect_journal() { # SIDE...
   local side entry
   for side in "$@"; do
--- a/scripts/binding.py
+++ b/scripts/binding.py
@@ -1,20 +1,22 @@
 #!/usr/bin/env python3
-"""Says where the worth of a day is lost, from its report and its entries' log.
+"""Shows where a day loses worth, from its report and the log of its entries.
 
 usage: binding.py REPORT LOG
 
-REPORT is what `fleetbench run SITE DAY --report REPORT --log edge > LOG` wrote.
-Prints the windows that lost most, the endings of jobs in them by our own
-reasons, the times from the machines' return after a loss of everything to the
-first jobs, and an upper bound of the worth.
-
-The bound assumes that jobs sent while no entry could run, or open when all was
-lost, earn the benefit of a late answer (a fifth), that those sent in the last
-0.3 s before the first entry is back are in time still, and so are all others;
-prices stay as they are. A window's jobs are counted by when they were first
-sent, evenly over its two seconds. No dispatcher can start one before an entry
-runs; the room of the backend servers, which is short for about a second then,
-is not in the bound.
+REPORT and LOG are written by
+`fleetbench run SITE DAY --report REPORT --log edge > LOG`.
+Prints the windows that lost most worth, the endings of their jobs by the reasons
+in the log, the times of each step of recovery after all machines were lost, and
+an upper bound of the worth.
+
+The bound makes these assumptions. Jobs that are sent while no entry runs, or
+that are open when all machines are lost, earn the value of a late answer (a
+fifth). Jobs sent in the last 0.3 s before the first entry is back, and all
+others, are in time. Prices are those of the report. Jobs are assigned to windows
+by the time of their first sending and spread evenly over the two seconds of a
+window. No dispatcher can start a job before an entry runs. The bound ignores
+the capacity of the backend servers, which is scarce for about a second after
+recovery.
 """
 
 import collections
@@ -23,16 +25,16 @@
 
 WINDOW_S = 2.0
 LATE_SHARE = 0.2
-# Objectives and run times of ordinary jobs: what is sent this long before a
-# loss of everything is still open then.
+# Jobs sent this long before the loss of all machines are still open at the loss,
+# given the objectives and run times of ordinary jobs.
 OPEN_S = 0.15
-# Objectives of the shorter half of the jobs are over by then.
+# The shorter half of the objectives ends within this time.
 PATIENT_S = 0.3
 TOTAL_LOSSES = ("power_off_all", "kill_all")
 
 
 def read_events(path):
-    """Our own log lines as (time, process, fields)."""
+    """Yields the log lines of cactusmast as (time, process, fields)."""
     with open(path, encoding="utf-8", errors="replace") as file:
         for line in file:
             parts = line.split(None, 2)
@@ -44,7 +46,7 @@
 
 
 def endings_by_window(events):
-    """Counts of endings and refusals by window and reason."""
+    """Returns the number of endings and refusals by window and reason."""
     found = collections.defaultdict(collections.Counter)
     for time, _, event in events:
         window = int(time // WINDOW_S * WINDOW_S)
@@ -60,7 +62,7 @@
 
 
 def total_loss(report):
-    """When everything was lost, or None."""
+    """Returns the time at which all machines were lost, or None."""
     for event in report["events"]:
         if any(kind in event["kind"] for kind in TOTAL_LOSSES):
             return event["at_s"]
@@ -68,7 +70,7 @@
 
 
 def return_times(events, lost_at):
-    """First, median and last time of each step after the loss, over entries."""
+    """Returns first, median and last time of each recovery step over the entries."""
     steps = {"process_started": {}, "config_in_force": {}, "peer_up": {},
              "job_accepted": {}, "tasks_placed": {}}
     completed = []
@@ -96,7 +98,7 @@
 
 
 def bound_of_windows(report, lost_at, back_at):
-    """Worth by window under the assumptions above."""
+    """Returns the bound of the worth by window; see the module's comment."""
     bounds = {}
     for window in report["windows"]:
         start = float(window["name"])
--- a/scripts/check_chaos.py
+++ b/scripts/check_chaos.py
@@ -1,4 +1,10 @@
-"""Checks the promises over the files that a run of chaos.sh left behind."""
+"""Checks the guarantees against the files that a run of chaos.sh wrote.
+
+usage: check_chaos.py DIRECTORY FAULTS JOBS TASKS
+
+FAULTS is the number of injected faults, JOBS that of all jobs and TASKS that of
+the tasks in each job.
+"""
 
 import collections
 import glob
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,9 +1,10 @@
-# Starts and stops the processes of one small deployment on 127.0.0.1, for the
-# demonstration and for tests with real processes. Source it, then:
+# Functions that start and stop the processes of a small deployment on
+# 127.0.0.1, for the demonstration and for tests with real processes. Source it,
+# then:
 #   cluster_init BUILD BASE_PORT
 #   start_table; start_entry N; start_guard N; start_backend N SPEED [ARGS...]
-# Every process started is remembered by its number in PIDS and ended by
-# cluster_stop.
+# PIDS holds the process id of each started process by name. On exit
+# cluster_abort kills the processes that are left and removes the files.
 
 declare -A PIDS=()
 
@@ -80,12 +81,12 @@
     --record="$DIR/starts-$n" "$@"
 }
 
-wait_for() { # SECONDS COMMAND...: until the command succeeds
+wait_for() { # SECONDS COMMAND...: retries the command until it succeeds
   local until=$((SECONDS + $1))
   shift
   until "$@" >/dev/null 2>&1; do
     if [ "$SECONDS" -ge "$until" ]; then
-      echo "gave up waiting for: $*" >&2
+      echo "timed out waiting for: $*" >&2
       return 1
     fi
     sleep 0.1
@@ -102,7 +103,7 @@
   python3 -c "import json,sys; d=json.load(sys.stdin); print($1)"
 }
 
-workers_ready() { # COUNT: some shard has that many workers
+workers_ready() { # COUNT: the largest shard has exactly COUNT workers
   cli 1 status --json |
     json_field "max(s['workers'] for s in d['shards'])" | grep -qx "$1"
 }
@@ -111,7 +112,7 @@
   curl -s "$1/metrics" | awk -v name="$2" '$1 == name { print $2 + 0 }'
 }
 
-stop_process() { # NAME: planned stop, waits, returns its exit code
+stop_process() { # NAME: drains the process and returns its exit code
   local pid=${PIDS[$1]}
   kill -TERM "$pid" 2>/dev/null || true
   local code=0
--- a/scripts/compare.sh
+++ b/scripts/compare.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Plays days of a site on the same seeds at two commits, in turn, and prints
-# the worth of each pair, the mean difference and its spread.
+# Runs days of a site with the same seeds at two commits, and prints the worth
+# of each pair of runs, the mean difference and its standard deviation.
 #
 #   scripts/compare.sh A B SITE [DAY...]
 #
-# A, B: commits, or "." for the working tree as it is. Without days, all
-# standard days of the site. Environment: SEEDS, one or more numbers (default
-# "1 2 3"); WHY, for the journal; and that of bench_trees.sh.
+# A, B: commits, or "." for the working tree. Without DAY, all standard days of
+# the site are run. Environment: SEEDS, one or more numbers (default "1 2 3");
+# WHY, the reason in the journal; and the variables of bench_trees.sh.
 set -eu
 [ $# -ge 3 ] || { sed -n '2,9s/^# \{0,1\}//p' "$0"; exit 2; }
 first=$1 second=$2 site=$(realpath "$3")
--- a/scripts/compare_reports.py
+++ b/scripts/compare_reports.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Compares reports SIDE--DAY--SEED.json in a folder with those of one side.
+"""Compares reports named SIDE--DAY--SEED.json with those of one side.
 
 usage: compare_reports.py FOLDER SIDE
 """
@@ -13,7 +13,7 @@
 
 
 def read_reports(folder):
-    """Worth, worst windows and broken rules by side, day and seed."""
+    """Returns worth, worst windows and broken rules by side, then (day, seed)."""
     read = collections.defaultdict(dict)
     for path in glob.glob(os.path.join(folder, "*--*--*.json")):
         side, day, seed = os.path.basename(path)[:-5].split("--")
@@ -26,7 +26,7 @@
 
 
 def print_pairs(name, other, base):
-    """Prints each pair and returns the gains by day."""
+    """Prints each pair of runs and returns the gains in worth by day."""
     gains = collections.defaultdict(list)
     for day, seed in sorted(set(base) | set(other)):
         if (day, seed) not in base or (day, seed) not in other:
@@ -42,7 +42,7 @@
 
 
 def print_means(name, gains):
-    """Prints the mean gain by day and over all."""
+    """Prints the mean gain over all pairs and by day."""
     every = [gain for some in gains.values() for gain in some]
     if not every:
         return
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The whole path on 127.0.0.1: two entries, three backend servers of different
-# speeds with their guards, and the platform's stand-in. Exits 0 only if
-# everything it prints holds.
+# Demonstrates the whole path on 127.0.0.1 with two entries, three backend
+# servers of different speeds with their guards, and the stand-in for the
+# platform's table. Exits with 0 only if every check succeeds.
 set -u
 cd "$(dirname "$0")/.."
 . scripts/cluster.sh
@@ -49,8 +49,8 @@
 expect "starts on the backend servers" "$(cat "$DIR"/starts-* | wc -l)" 200
 expect "different tasks started" "$(sort -u "$DIR"/starts-* | wc -l)" 200
 
-sleep 1.2 # the last acknowledgements
-sum() { # METRIC over the entries
+sleep 1.2 # until the last results are acknowledged
+sum() { # METRIC: its sum over both entries
   echo $(($(metric "$(entry_url 1)" "cactusmast_$1_total") + \
     $(metric "$(entry_url 2)" "cactusmast_$1_total")))
 }
--- a/scripts/install_deps.sh
+++ b/scripts/install_deps.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that are declared here and missing.
+# Installs those of the required Debian packages that are missing.
 set -eu
 packages=(
   g++ make pkg-config clang-format clang-tidy curl gnuplot-nox
--- a/scripts/measure_path.sh
+++ b/scripts/measure_path.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # Measures one entry on the whole path with real processes: throughput and
-# processor time per task against a bare HTTP handler, added latency, bytes and
-# messages per task, memory. Usage: scripts/measure_path.sh BUILD [OUT.json]
+# processor time per task compared with a bare HTTP handler, added latency,
+# bytes and messages per task, and memory. Usage:
+#   scripts/measure_path.sh BUILD [OUT.json]
 set -eu
 trap 'echo "failed at line $LINENO" >&2' ERR
 cd "$(dirname "$0")/.."
@@ -38,7 +39,7 @@
 bare=$(load bare --entries="$entry" --jobs=60000)
 bare_cpu=$(echo "$before $(cpu "$entry")" | awk '{print ($2-$1)/60000*1e6}')
 
-# Idle processor time, in per cent of a core.
+# Idle processor time in percent of a core: 10 s, times 100.
 before=$(cpu "$entry")
 guard_before=$(cpu "$(guard_url 1)")
 sleep 10
@@ -46,8 +47,8 @@
 idle_guard_cpu=$(echo "$guard_before $(cpu "$(guard_url 1)")" |
   awk '{print ($2-$1)*10}')
 
-# Latency added to single tasks of 50 ms, one at a time, for a profile that
-# prefers response time and for one that prefers few messages.
+# Latency added to jobs of a single task of 50 ms, at 16 jobs a second, for a
+# profile that prefers response time and for one that prefers few messages.
 sed 's/service: .*/service: ordering/' examples/profile_door_check.yaml \
   >"$DIR/door.yaml"
 cli 1 profile create "$DIR/door.yaml" --reason=measure >/dev/null
@@ -56,7 +57,8 @@
 lingering=$(load jobs --entries="$entry" --profile=quote --jobs=400 \
   --rate=16 --min-ms=50 --max-ms=50 --prefix=lingering)
 
-# Tasks without run time of their own, in jobs of 100, as fast as they go.
+# Throughput: tasks of 0.1 ms in jobs of 100, first a warm-up of 100 jobs and
+# then the measured load.
 load jobs --entries="$entry" --profile=quote --jobs=100 --rate=100 \
   --tasks=100 --min-ms=0.1 --max-ms=0.1 --prefix=warm >&2
 tasks=60000
--- a/scripts/measure_scale.sh
+++ b/scripts/measure_scale.sh
@@ -1,6 +1,8 @@
 #!/usr/bin/env bash
-# Control costs of real processes against their number: three entries and a
-# growing number of guards with idle backend servers' slots. Usage:
+# Measures the control traffic, processor time and memory of real processes by
+# their number: three idle entries and a growing number of guards, which have
+# no backend servers.
+# Environment: SCALE_COUNTS, numbers of guards (default "10 50 150"). Usage:
 #   scripts/measure_scale.sh BUILD [OUT.json]
 set -eu
 cd "$(dirname "$0")/.."
@@ -28,7 +30,7 @@
   }
   wait_for 60 all_leased
   sleep 5
-  snapshot() { # URL: cpu, bytes both ways, memory
+  snapshot() { # URL: processor seconds, bytes sent and received, memory
     curl -s "$1/metrics" | awk '
       /^process_cpu_seconds_total/ { cpu = $2 }
       /^cactusmast_peer_bytes_(sent|received)_total/ { bytes += $2 }
--- a/scripts/plot.sh
+++ b/scripts/plot.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plots response ratio and wasted messages against load from
-# RESULTS/policy.json, as PNG files in RESULTS. Usage: scripts/plot.sh RESULTS
+# Plots response ratio and wasted messages by load from RESULTS/policy.json into
+# PNG files in RESULTS. Usage: scripts/plot.sh RESULTS
 set -eu
 results=$1
 python3 - "$results" <<'EOF'
--- a/scripts/run_tests.sh
+++ b/scripts/run_tests.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Runs the library's tests and those with real processes; counts them all.
+# Runs the library's tests and the tests with real processes, and prints how
+# many passed and failed.
 # Tests named in KNOWN-RED.txt may fail; they are printed.
 set -u
 cd "$(dirname "$0")/.."
--- a/scripts/tests/coordinator_under_load.sh
+++ b/scripts/tests/coordinator_under_load.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# A real coordinator with 20 executors serves 60 jobs a second for three
-# seconds: every caller gets its answer. A planned stop then ends it in its time
-# with exit code 0.
+# Checks that a real coordinator with 20 executors answers every job at 60 jobs
+# a second for three seconds, and that it then drains in time and exits with 0.
 set -eu
 build=$1
 dir=$(mktemp -d)
--- a/scripts/tests/demo_runs.sh
+++ b/scripts/tests/demo_runs.sh
@@ -1,3 +1,3 @@
 #!/usr/bin/env bash
-# The demonstration as a test.
+# Runs the demonstration as a test, on ports of its own.
 DEMO_PORT="${DEMO_TEST_PORT:-21500}" exec "$(dirname "$0")/../demo.sh" "$1"
